--- a/cometdoor/configuration/document.py
+++ b/cometdoor/configuration/document.py
@@ -88,12 +88,12 @@
 
 def _reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     """Build a JSON object; reject a repeated key, since the intended value is ambiguous."""
-    table = dict(pairs)
-    if len(table) < len(pairs):
+    json_object = dict(pairs)
+    if len(json_object) < len(pairs):
         names = [name for name, _ in pairs]
         duplicate = next(name for name in names if names.count(name) > 1)
         raise ValueError(f"{duplicate!r} appears twice in one table")
-    return table
+    return json_object
 
 
 def parse(body: bytes) -> Document:
--- a/cometdoor/gossip/anti_entropy.py
+++ b/cometdoor/gossip/anti_entropy.py
@@ -66,8 +66,8 @@
             return records[self._rng.choice(suspected)].address
         if seeds and (not neighbours or self._rng.random() < SEED_PARTNER_SHARE):
             return self._rng.choice(seeds)
-        known = neighbours or [records[node].address for node in suspected]
-        return self._rng.choice(known) if known else None
+        candidates = neighbours or [records[node].address for node in suspected]
+        return self._rng.choice(candidates) if candidates else None
 
     def neighbours_to_swap(self, now: float) -> list[str]:
         """Return a sample of the view if a swap is due, else nothing."""
--- a/cometdoor/gossip/directory.py
+++ b/cometdoor/gossip/directory.py
@@ -111,8 +111,8 @@
         self.publish(self.local_record)
 
     def _disseminate(self, records: list[NodeRecord], exclude: str = "") -> None:
-        known = [address for address in self._view.addresses or self._seeds if address != exclude]
-        for address in self._rng.sample(known, min(GOSSIP_FANOUT, len(known))):
+        candidates = [address for address in self._view.addresses or self._seeds if address != exclude]
+        for address in self._rng.sample(candidates, min(GOSSIP_FANOUT, len(candidates))):
             self._send_update(address, records)
 
     def _send_update(self, address: str, records: list[NodeRecord]) -> None:
--- a/cometdoor/wire/connection_statistics.py
+++ b/cometdoor/wire/connection_statistics.py
@@ -20,9 +20,9 @@
         """Count a connection that was closed; `reason`: as its pending calls are told."""
         self.closed[reason] += 1
 
-    def on_silence_ended(self, ping_s: float) -> None:
+    def on_ping_answered(self, elapsed_s: float) -> None:
         """Record that something arrived `ping_s` seconds after a ping."""
-        self._max_ping_s = max(self._max_ping_s, ping_s)
+        self._max_ping_s = max(self._max_ping_s, elapsed_s)
 
     def report(self) -> dict[str, object]:
         """Return the statistics since the last report; empty if there are none."""
--- a/cometdoor/wire/connections.py
+++ b/cometdoor/wire/connections.py
@@ -95,8 +95,8 @@
     def discard(self, connection: PeerConnection) -> None:
         """Forget a closed connection; if it never opened, back off from its peer."""
         self._inbound.pop(connection, None)
-        for key, known in list(self._outbound.items()):
-            if known is connection:
+        for key, outbound in list(self._outbound.items()):
+            if outbound is connection:
                 del self._outbound[key]
                 if not connection.is_open:
                     self._backoff_until[key[0]] = self.loop.time() + RECONNECT_BACKOFF_S
--- a/cometdoor/wire/peer_connection.py
+++ b/cometdoor/wire/peer_connection.py
@@ -153,7 +153,7 @@
         self.last_received_at = self._connections.loop.time()
         self._connections.last_received_from[self.machine] = self.last_received_at
         if self._pinged_at is not None:
-            self._connections.statistics.on_silence_ended(self.last_received_at - self._pinged_at)
+            self._connections.statistics.on_ping_answered(self.last_received_at - self._pinged_at)
             self._pinged_at = None
         try:
             frames = self._frame_decoder.feed(data)
--- a/stories/configuration/test_document.py
+++ b/stories/configuration/test_document.py
@@ -12,8 +12,8 @@
 from cometdoor.host.settings_validation import SettingsError
 
 
-def content() -> dict[str, Any]:
-    def route(prefix: str, **more: Any) -> dict[str, Any]:
+def make_content() -> dict[str, Any]:
+    def route(prefix: str, **overrides: Any) -> dict[str, Any]:
         return {
             "name": "r" + prefix,
             "path-prefix": prefix,
@@ -23,7 +23,7 @@
             "priority": 2,
             "service": "one",
             "max-attempts": 2,
-        } | more
+        } | overrides
 
     split = [{"service": "one", "weight": 90}, {"service": "two", "weight": 10}]
     return {
@@ -45,7 +45,8 @@
         {"path-prefix": "/x/"}
     ),
     "hosts.0.host-routes.1.traffic-split": lambda c: [
-        part.update(weight=0) for part in c["hosts"][0]["host-routes"][1]["traffic-split"]
+        weighted_service.update(weight=0)
+        for weighted_service in c["hosts"][0]["host-routes"][1]["traffic-split"]
     ],
     "hosts.0.host-routes.0.timeout-s": lambda c: c["hosts"][0]["host-routes"][0].update({"timeout-s": 0}),
     "hosts.0.hostname": lambda c: c["hosts"][0].update(hostname=""),
@@ -59,7 +60,7 @@
 
 @test("an invalid configuration is rejected with the path of the problem")
 def _(path: str = each(*PROBLEMS)) -> None:
-    broken = content()
+    broken = make_content()
     PROBLEMS[path](broken)
     with raises(SettingsError) as error:
         parse(json.dumps(broken).encode())
@@ -69,7 +70,7 @@
 @test("a configuration that can't be decoded, or has a key twice, is rejected")
 def _(
     body: bytes = each(
-        json.dumps(content()).encode()[:-20], b"", b"\xff", b"[1]", b'{"revision":1,"revision":2}'
+        json.dumps(make_content()).encode()[:-20], b"", b"\xff", b"[1]", b'{"revision":1,"revision":2}'
     ),
 ) -> None:
     with raises(SettingsError):
@@ -78,7 +79,7 @@
 
 @test("all problems are reported at once, and unknown fields are ignored")
 def _() -> None:
-    broken = content() | {"new-field": 1}
+    broken = make_content() | {"new-field": 1}
     assert parse(json.dumps(broken).encode()).revision == 7
     for path in ("hosts.0.hostname", "hosts.0.host-routes.0.timeout-s"):
         PROBLEMS[path](broken)
@@ -89,7 +90,7 @@
 
 @test("a request takes the route with the longest prefix of its host, or none")
 def _() -> None:
-    routes = Routes(parse(json.dumps(content()).encode()))
+    routes = Routes(parse(json.dumps(make_content()).encode()))
 
     def find_prefix(host: str, path: str) -> str | None:
         route = routes.find(host, path)
@@ -101,7 +102,7 @@
 
 @test("a route with a traffic split divides its requests by weight")
 def _() -> None:
-    route = Routes(parse(json.dumps(content()).encode())).find("a.example", "/x/y/")
+    route = Routes(parse(json.dumps(make_content()).encode())).find("a.example", "/x/y/")
     assert route is not None
     rng = random.Random(1)
     counts = Counter(choose_service(route, rng) for _ in range(1000))
--- a/stories/wire/test_connections.py
+++ b/stories/wire/test_connections.py
@@ -42,12 +42,12 @@
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def call(self, message: Message, channel: str = "") -> PendingCall:
-        made: list[object] = []
+        calls: list[object] = []
         self.loop.run_as(
-            self.a, lambda: made.append(self.caller.call("b:1", message, self.replies.append, channel))
+            self.a, lambda: calls.append(self.caller.call("b:1", message, self.replies.append, channel))
         )
-        assert isinstance(made[0], PendingCall)
-        return made[0]
+        assert isinstance(calls[0], PendingCall)
+        return calls[0]
 
     def cancel(self, call: PendingCall) -> bool:
         was_unsent: list[bool] = []
--- a/tests/configuration/test_golden_document.py
+++ b/tests/configuration/test_golden_document.py
@@ -12,7 +12,7 @@
 
 from cometdoor.configuration.document import parse
 from cometdoor.configuration.routes import Routes
-from tests.golden import faults, load, plain
+from tests.golden import load, problem_paths, to_plain
 
 FIXTURES = Path(__file__).parent / "fixtures"
 FIXTURE = load(FIXTURES / "documents.json")
@@ -26,12 +26,12 @@
 def test_a_configuration_is_parsed_to_the_same_values(name: str) -> None:
     document = parse(raw(name))
     assert document.to_dict() == FIXTURE["files"][name]["values"]
-    assert plain(document) == FIXTURE["files"][name]["positions"]
+    assert to_plain(document) == FIXTURE["files"][name]["positions"]
 
 
 @pytest.mark.parametrize("name", FIXTURE["faults"])
 def test_an_invalid_configuration_has_the_same_problems(name: str) -> None:
-    assert faults(lambda: parse(raw(name))) == FIXTURE["faults"][name]
+    assert problem_paths(lambda: parse(raw(name))) == FIXTURE["faults"][name]
 
 
 @pytest.mark.parametrize(
--- a/tests/control/test_golden_data_directory.py
+++ b/tests/control/test_golden_data_directory.py
@@ -34,7 +34,7 @@
 from standins.http_client import http_request
 from standins.mesh import configuration
 from standins.mesh_backend import CONTROL_PORT
-from tests.golden import load, plain
+from tests.golden import load, to_plain
 
 STORED = Path(__file__).parent / "fixtures" / "data-directory-4033f28"
 EXPECTED = load(STORED / "expected.json")
@@ -77,8 +77,10 @@
         *(recorded["id"], recorded["term"], recorded["voted_for"]),
     )
     assert durable_state.committed == recorded["committed"]
-    assert (None if durable_state.snapshot is None else plain(durable_state.snapshot)) == recorded["snapshot"]
-    assert [plain(entry) for entry in durable_state.entries] == recorded["entries"]
+    assert (None if durable_state.snapshot is None else to_plain(durable_state.snapshot)) == recorded[
+        "snapshot"
+    ]
+    assert [to_plain(entry) for entry in durable_state.entries] == recorded["entries"]
 
 
 @DIRECTORIES
@@ -92,7 +94,7 @@
         recorded["now_ms"],
         recorded["closed_until_ms"],
     )
-    assert [[key, plain(claim)] for key, claim in state.keys.items()] == recorded["keys"]
+    assert [[key, to_plain(claim)] for key, claim in state.keys.items()] == recorded["keys"]
 
 
 @DIRECTORIES
@@ -153,7 +155,7 @@
     records, changes = set(), set()
     for name in EXPECTED["directories"]:
         for path in (STORED / name).glob("*.dat"):
-            stored = [plain(record) for value in values_of(path) for record in value.records]
+            stored = [to_plain(record) for value in values_of(path) for record in value.records]
             records |= {record[0] for record in stored}
             changes |= {change[0] for record in stored if record[0] == "s" for _, _, change in record[1]}
     assert records == set("ipsnk") and changes == {"e0", "e1", "e2", "e3", "e4"}
@@ -212,7 +214,7 @@
     state = mesh.core_program(leader_within(mesh, 1.0)).replica_server.state
     for _, revision, body in EXPECTED["acknowledged"]["configurations"]:
         assert state.was_accepted(revision, bytes.fromhex(body["hex"])), revision
-    keys = {key: plain(claim) for key, claim in state.keys.items()}
+    keys = {key: to_plain(claim) for key, claim in state.keys.items()}
     assert len(expected("rebuilt")["state_of_committed"]["keys"]) > 5
     for key, claim in expected("rebuilt")["state_of_committed"]["keys"]:
         assert keys[key] == claim
--- a/tests/control/test_golden_records.py
+++ b/tests/control/test_golden_records.py
@@ -14,7 +14,7 @@
 
 from cometdoor.control.durable_state import DurableState, Record
 from cometdoor.control.write_ahead_log import encode_batch, scan_batches
-from tests.golden import from_plain, load, plain
+from tests.golden import from_plain, load, to_plain
 
 FIXTURE = load(Path(__file__).parent / "fixtures" / "records.json")
 SCRIPTS = pytest.mark.parametrize("name", FIXTURE["scripts"])
@@ -30,7 +30,7 @@
     for record, step in zip(records(name), FIXTURE["scripts"][name], strict=True):
         state.apply(record)
         values = [getattr(state, field.name) for field in dataclasses.fields(state)]
-        assert [plain(value) for value in values] == step["state"]
+        assert [to_plain(value) for value in values] == step["state"]
 
 
 def test_each_record_is_decoded_and_encoded_to_the_same_bytes() -> None:
--- a/tests/control/test_golden_state_machine.py
+++ b/tests/control/test_golden_state_machine.py
@@ -17,10 +17,13 @@
 from cometdoor.control.durable_state import Record
 from cometdoor.control.state_machine import StateMachine, StateMachineSnapshot
 from cometdoor.wire.log_entries import Change
-from tests.golden import StructType, by_tag, check_field_order, from_plain, load, part_at
+from tests.golden import StructType, by_tag, check_field_order, from_plain, load, struct_at
 
 FIXTURE = load(Path(__file__).parent / "fixtures" / "state_machine.json")
-PARTS: dict[str, StructType] = {"image": StateMachineSnapshot, "kept claim": part_at(StateMachineSnapshot, 4)}
+PARTS: dict[str, StructType] = {
+    "image": StateMachineSnapshot,
+    "kept claim": struct_at(StateMachineSnapshot, 4),
+}
 RECORDS = by_tag(Record)
 # By the fixture's name of the struct, or by a record's tag: the fixture's name of each field that was renamed
 # since, and today's.
--- a/tests/discovery/test_golden_node.py
+++ b/tests/discovery/test_golden_node.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cometdoor.discovery.config import read_config
-from tests.golden import load, plain
+from tests.golden import load, to_plain
 
 FIXTURES = Path(__file__).parent / "fixtures"
 FIXTURE = load(FIXTURES / "node.json")
@@ -20,4 +20,4 @@
 def test_the_platforms_object_is_read_to_the_same_values(name: str) -> None:
     recorded = FIXTURE["files"][name]
     config = read_config(load(FIXTURES / f"{name}.json"), recorded["environment"])
-    assert plain(config) == recorded["positions"]
+    assert to_plain(config) == recorded["positions"]
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -24,7 +24,7 @@
     return json.loads(path.read_text())
 
 
-def plain(value: object) -> Any:
+def to_plain(value: object) -> Any:
     """Return a value as it is in a fixture: structs as fields in the order of their declaration."""
     match value:
         case Enum():
@@ -33,13 +33,15 @@
             return {"hex": value.hex()}
         case msgspec.Struct():
             tag = value.__struct_config__.tag
-            return ([] if tag is None else [tag]) + [plain(one) for one in msgspec.structs.astuple(value)]
+            return ([] if tag is None else [tag]) + [
+                to_plain(item) for item in msgspec.structs.astuple(value)
+            ]
         case list() | tuple():
-            return [plain(one) for one in value]
+            return [to_plain(item) for item in value]
         case dict():
-            return {key: plain(one) for key, one in value.items()}
+            return {key: to_plain(item) for key, item in value.items()}
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
-        return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
+        return [to_plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     return value
 
 
@@ -49,9 +51,9 @@
         case {"hex": str(digits), **rest} if not rest:
             return bytes.fromhex(digits)
         case list():
-            return [from_plain(one) for one in value]
+            return [from_plain(item) for item in value]
         case dict():
-            return {key: from_plain(one) for key, one in value.items()}
+            return {key: from_plain(item) for key, item in value.items()}
     return value
 
 
@@ -61,11 +63,11 @@
 
 def build(kind: StructType, values: Iterable[Any]) -> msgspec.Struct:
     """Return a struct of that type, built from its fields by position alone."""
-    given = [
-        msgspec.convert(from_plain(value), type=wanted)
-        for value, wanted in zip(values, field_types(kind), strict=False)
+    arguments = [
+        msgspec.convert(from_plain(value), type=field_type)
+        for value, field_type in zip(values, field_types(kind), strict=False)
     ]
-    return kind(*given)
+    return kind(*arguments)
 
 
 def tag_of(kind: StructType) -> str | None:
@@ -87,22 +89,22 @@
         yield from structs_in(inner)
 
 
-def part_at(kind: StructType, *places: int) -> StructType:
+def struct_at(kind: StructType, *positions: int) -> StructType:
     """Return the only struct in the field at a position, and so on for further positions."""
-    for place in places:
-        (kind,) = set(structs_in(field_types(kind)[place]))
+    for position in positions:
+        (kind,) = set(structs_in(field_types(kind)[position]))
     return kind
 
 
 def reachable(kinds: Iterable[StructType]) -> set[StructType]:
     """Return all structs that these are made of, including themselves."""
     found: set[StructType] = set()
-    waiting = list(kinds)
-    while waiting:
-        kind = waiting.pop()
+    pending = list(kinds)
+    while pending:
+        kind = pending.pop()
         if kind not in found:
             found.add(kind)
-            waiting += [inner for wanted in field_types(kind) for inner in structs_in(wanted)]
+            pending += [inner for field_type in field_types(kind) for inner in structs_in(field_type)]
     return found
 
 
@@ -124,7 +126,7 @@
     assert list(kind.__struct_encode_fields__) == expected, f"{kind.__name__} is encoded under other names"
 
 
-def faults(read: Callable[[], object]) -> list[str]:
+def problem_paths(read: Callable[[], object]) -> list[str]:
     """Return the locations of all problems in settings, in the order in which they are reported."""
     with pytest.raises(SettingsError) as caught:
         read()
--- a/tests/gossip/test_golden_digests.py
+++ b/tests/gossip/test_golden_digests.py
@@ -26,7 +26,7 @@
     return frame.message
 
 
-def a_directory() -> Directory:
+def make_directory() -> Directory:
     """Return a directory with twelve other processes, three of them suspected."""
     (local_record,) = msgspec.structs.astuple(message(FIXTURE["own"]))[1]
     directory = Directory(local_record, [], random.Random(1), NOW)
@@ -37,12 +37,12 @@
 @pytest.mark.parametrize("name", FIXTURE["requests"])
 def test_a_digest_request_gets_the_reply_of_that_version(name: str) -> None:
     recorded = FIXTURE["requests"][name]
-    reply = a_directory().on_digest_request(message(recorded["request"]), NOW)
+    reply = make_directory().on_digest_request(message(recorded["request"]), NOW)
     assert encode(Frame(1, True, reply)).hex() == recorded["reply"]
 
 
 def test_the_digest_in_a_request_is_that_of_that_version() -> None:
-    directory = a_directory()
+    directory = make_directory()
     directory.requests.clear()
     directory.tick(2 * NOW)
     ((_, request),) = directory.requests
--- a/tests/host/test_golden_boot.py
+++ b/tests/host/test_golden_boot.py
@@ -19,7 +19,7 @@
 from cometdoor.dataplane.process import DataPlane
 from cometdoor.host.node_settings import SETTINGS_FILE_VARIABLE, NodeSettings, read_node_settings
 from simulation.mesh import SimulatedMesh, simulated_mesh
-from tests.golden import faults, load, plain
+from tests.golden import load, problem_paths, to_plain
 
 FIXTURES = Path(__file__).parent / "fixtures"
 FIXTURE = load(FIXTURES / "boot.json")
@@ -45,7 +45,7 @@
 
 @FILES
 def test_golden_settings_files_are_read_to_the_same_values(name: str) -> None:
-    values, positions = node_settings(name).to_dict(), plain(node_settings(name))
+    values, positions = node_settings(name).to_dict(), to_plain(node_settings(name))
     assert [positions[LIMITS_POSITION].pop() for _ in ADDED_LIMITS] == [*reversed(ADDED_LIMITS.values())]
     for key, value in ADDED_LIMITS.items():
         assert values["limits"].pop(key) == value
@@ -66,7 +66,7 @@
     ("name", "role"), [(name, role) for name in FIXTURE["faults"] for role in FIXTURE["faults"][name]]
 )
 def test_invalid_golden_settings_files_have_the_same_problems(name: str, role: str) -> None:
-    assert faults(lambda: read_node_settings(raw(name), name, role)) == FIXTURE["faults"][name][role]
+    assert problem_paths(lambda: read_node_settings(raw(name), name, role)) == FIXTURE["faults"][name][role]
 
 
 def test_environment_variable_that_names_the_file_is_unchanged() -> None:
--- a/tests/planning/test_golden_notes.py
+++ b/tests/planning/test_golden_notes.py
@@ -18,7 +18,7 @@
 from cometdoor.planning.load_reports import FAILURE_KINDS_BY_OUTCOME, FailureKind, decode_report, server_id
 from cometdoor.planning.sealed_messages import VERSION, DropReason, KeyRing, MessageKind, SecureChannel
 from cometdoor.planning.status import Status
-from tests.golden import StructType, check_field_order, load, part_at, plain
+from tests.golden import StructType, check_field_order, load, struct_at, to_plain
 
 FIXTURE = load(Path(__file__).parent / "fixtures" / "notes.json")
 REPORT, ADVICE, LEASE = map(MessageKind, FIXTURE["kinds"])
@@ -47,9 +47,9 @@
     report, advice, lease = (type(READ[kind](body(kind, "all fields"))) for kind in ("1", "2", "3"))
     return {
         "report": report,
-        "report entry": part_at(report, 4),
+        "report entry": struct_at(report, 4),
         "advice": advice,
-        "opinion": part_at(advice, 1),
+        "opinion": struct_at(advice, 1),
         "loan": lease,
     }
 
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize(("kind", "name"), BODIES)
 def test_a_body_is_decoded_and_encoded_again_to_the_same_bytes(kind: str, name: str) -> None:
     read = READ[kind](body(kind, name))
-    assert plain(read) == plain(msgspec.msgpack.decode(body(kind, name)))
+    assert to_plain(read) == to_plain(msgspec.msgpack.decode(body(kind, name)))
     assert msgspec.msgpack.encode(read) == body(kind, name)
     if kind == "2":
         assert encode_advice(read, FIXTURE["reach"][name]) == body(kind, name)
--- a/tests/planning/test_golden_settings.py
+++ b/tests/planning/test_golden_settings.py
@@ -13,7 +13,7 @@
 import pytest
 
 from cometdoor.planning.settings import load_forwarders, load_planners
-from tests.golden import load, plain
+from tests.golden import load, to_plain
 
 FIXTURES = Path(__file__).parent / "fixtures"
 DEPLOY = Path(__file__).parents[2] / "deploy"
@@ -33,12 +33,12 @@
     if name.startswith("planners"):
         file, keys = load_planners(PATHS[name])
         rules = [
-            None if fleet.slow_start is None else plain(fleet.slow_start.rules()) for fleet in file.fleet
+            None if fleet.slow_start is None else to_plain(fleet.slow_start.rules()) for fleet in file.fleet
         ]
         assert rules == recorded["cold rules"]
     else:
         file, keys = load_forwarders(PATHS[name])
-        assert [plain(service.addresses()) for service in file.service] == recorded["addresses"]
-    assert msgspec.to_builtins(file) == recorded["values"] and plain(file) == recorded["positions"]
+        assert [to_plain(service.addresses()) for service in file.service] == recorded["addresses"]
+    assert msgspec.to_builtins(file) == recorded["values"] and to_plain(file) == recorded["positions"]
     assert {str(number): key.hex() for number, key in keys.known.items()} == recorded["keys"]
     assert keys.current == recorded["current"]
--- a/tests/services/test_golden_settings.py
+++ b/tests/services/test_golden_settings.py
@@ -19,7 +19,7 @@
 from cometdoor.services import service_instance
 from cometdoor.services.service_manager import ServiceManager
 from cometdoor.services.settings import Settings, load_settings
-from tests.golden import load, plain
+from tests.golden import load, to_plain
 
 FIXTURES = Path(__file__).parent / "fixtures"
 FIXTURE = load(FIXTURES / "settings.json")
@@ -35,7 +35,7 @@
     given: list[Any] = []
 
     def record(module: Any, seed: int, retry_after: bool) -> HostSettings:
-        given.append([plain(module), retry_after])
+        given.append([to_plain(module), retry_after])
         return HostSettings(module, seed, retry_after)
 
     async def set_up() -> None:
@@ -50,8 +50,8 @@
 def test_a_file_of_services_is_read_to_the_same_values(name: str) -> None:
     settings, recorded = load_settings(PATHS[name]), FIXTURE["files"][name]
     assert msgspec.to_builtins(settings) == recorded["values"]
-    assert plain(settings) == recorded["positions"]
-    assert plain(settings.listen()) == recorded["listen"]
+    assert to_plain(settings) == recorded["positions"]
+    assert to_plain(settings.listen()) == recorded["listen"]
     assert [f"{route.describe()} -> {route.service}" for route in settings.routes()] == recorded["routes"]
 
 
--- a/tests/wire/test_golden_frames.py
+++ b/tests/wire/test_golden_frames.py
@@ -24,10 +24,10 @@
     by_tag,
     check_field_order,
     load,
-    part_at,
-    plain,
     reachable,
+    struct_at,
     structs_in,
+    to_plain,
 )
 
 FIXTURE = load(Path(__file__).parent / "fixtures" / "frames.json")
@@ -35,12 +35,12 @@
 MESSAGES = by_tag(Message)
 CHANGES = by_tag(Change)
 # Structs without a tag: the message, the position of the field, then the position inside that struct.
-PARTS = {
-    "backend": part_at(MESSAGES["w"], 1, 7),
-    "node record": part_at(MESSAGES["w"], 1),
-    "member": part_at(MESSAGES["j"], 0),
-    "log entry": part_at(MESSAGES["ap"], 5),
-    "lease demand": part_at(MESSAGES["sh"], 2),
+UNTAGGED_STRUCTS = {
+    "backend": struct_at(MESSAGES["w"], 1, 7),
+    "node record": struct_at(MESSAGES["w"], 1),
+    "member": struct_at(MESSAGES["j"], 0),
+    "log entry": struct_at(MESSAGES["ap"], 5),
+    "lease demand": struct_at(MESSAGES["sh"], 2),
 }
 # By tag or by name of a part: the fixture's name of each field that was renamed since, and today's.
 RENAMED_FIELDS: dict[str, dict[str, str]] = {
@@ -119,7 +119,7 @@
     frame = one_frame(raw(tag, name))
     assert type(frame.message) is MESSAGES[tag]
     assert (frame.call_id, frame.is_reply) == (case(tag, name)["call"], case(tag, name)["is_reply"])
-    assert plain(frame.message)[1:] == case(tag, name)["values"]
+    assert to_plain(frame.message)[1:] == case(tag, name)["values"]
     assert encode(frame) == raw(tag, name)
 
 
@@ -140,7 +140,7 @@
 
 
 def test_every_struct_in_a_message_is_compared_with_the_fixture() -> None:
-    expected = {*MESSAGES.values(), *CHANGES.values(), *PARTS.values()}
+    expected = {*MESSAGES.values(), *CHANGES.values(), *UNTAGGED_STRUCTS.values()}
     assert reachable(MESSAGES.values()) == expected
 
 
@@ -149,8 +149,8 @@
     kind = MESSAGES[tag]
     decoded = [one_frame(raw(tag, name)).message for name in FIXTURE["frames"][tag]]
     for field in msgspec.structs.fields(kind)[required(kind) :]:
-        made = field.default is msgspec.NODEFAULT
-        default = field.default_factory() if made else field.default
+        has_factory = field.default is msgspec.NODEFAULT
+        default = field.default_factory() if has_factory else field.default
         assert any(getattr(message, field.name) != default for message in decoded), field.name
         assert any(getattr(message, field.name) == default for message in decoded), field.name
 
@@ -164,7 +164,7 @@
     ("group", "name"), [(group, name) for group in FIXTURE["fields"] for name in FIXTURE["fields"][group]]
 )
 def test_fields_stand_in_the_order_of_that_version(group: str, name: str) -> None:
-    kind = {"messages": MESSAGES, "changes": CHANGES, "parts": PARTS}[group][name]
+    kind = {"messages": MESSAGES, "changes": CHANGES, "parts": UNTAGGED_STRUCTS}[group][name]
     check_field_order(kind, FIXTURE["fields"][group][name], RENAMED_FIELDS.get(name, {}))
 
 
@@ -177,11 +177,11 @@
     kind = MESSAGES[tag]
     name = next(iter(FIXTURE["frames"][tag]))
     sent = fields_on_the_wire(tag, name)
-    full = plain(one_frame(raw(tag, name)).message)[1:]
+    all_values = to_plain(one_frame(raw(tag, name)).message)[1:]
     for count in range(required(kind), len(sent) + 1):
         read = message_in(tag, sent[:count])
-        expected = plain(build(kind, full[:count]))[1:]
-        assert plain(read)[1:] == expected and expected[:count] == full[:count]
+        expected = to_plain(build(kind, all_values[:count]))[1:]
+        assert to_plain(read)[1:] == expected and expected[:count] == all_values[:count]
 
 
 @pytest.mark.parametrize("tag", MESSAGES)
@@ -191,7 +191,7 @@
         sent += [None] * (len(MESSAGES[tag].__struct_fields__) - len(sent))
         assert len(sent) == len(MESSAGES[tag].__struct_fields__)
         read = message_in(tag, [*sent, "a field of a later version", 5])
-        assert plain(read) == plain(one_frame(raw(tag, name)).message)
+        assert to_plain(read) == to_plain(one_frame(raw(tag, name)).message)
 
 
 @pytest.mark.parametrize("tag", [tag for tag in MESSAGES if required(MESSAGES[tag])])
@@ -212,8 +212,8 @@
 
 @pytest.mark.parametrize("outcome", FIXTURE["outcomes_after_arrival"])
 def test_an_attempt_that_failed_at_the_backend_is_read_with_its_outcome_and_blame(outcome: str) -> None:
-    reading, answer = read_reply(message_in("b", [outcome, 0.25]))
-    assert (reading.outcome.value, reading.blame, answer) == (outcome, 0.25, None)
+    reading, response = read_reply(message_in("b", [outcome, 0.25]))
+    assert (reading.outcome.value, reading.blame, response) == (outcome, 0.25, None)
 
 
 def test_no_two_structs_share_a_tag() -> None:
@@ -222,29 +222,29 @@
         assert len(by_tag(union)) == len(kinds)
 
 
-ALL = b"".join(raw(tag, name) for tag, name in CASES)
+ALL_FRAMES = b"".join(raw(tag, name) for tag, name in CASES)
 
 
 @given(st.lists(st.integers(1, 700), min_size=1, max_size=40))
 def test_frames_that_arrive_in_any_portions_are_the_same_frames(sizes: list[int]) -> None:
     decoder = FrameDecoder()
     frames: list[Frame] = []
-    at = turn = 0
-    while at < len(ALL):
+    offset = turn = 0
+    while offset < len(ALL_FRAMES):
         size = sizes[turn % len(sizes)]
-        frames += decoder.feed(ALL[at : at + size])
-        at, turn = at + size, turn + 1
+        frames += decoder.feed(ALL_FRAMES[offset : offset + size])
+        offset, turn = offset + size, turn + 1
     assert [type(frame.message) for frame in frames] == [MESSAGES[tag] for tag, _ in CASES]
-    assert b"".join(map(encode, frames)) == ALL
+    assert b"".join(map(encode, frames)) == ALL_FRAMES
 
 
 def test_frames_that_arrive_byte_by_byte_are_each_complete_with_their_last_byte() -> None:
     decoder = FrameDecoder()
     ends = set()
-    at = 0
+    offset = 0
     for tag, name in CASES:
-        at += len(raw(tag, name))
-        ends.add(at)
-    for place in range(len(ALL)):
-        frames = decoder.feed(ALL[place : place + 1])
-        assert len(frames) == (place + 1 in ends)
+        offset += len(raw(tag, name))
+        ends.add(offset)
+    for position in range(len(ALL_FRAMES)):
+        frames = decoder.feed(ALL_FRAMES[position : position + 1])
+        assert len(frames) == (position + 1 in ends)
