--- a/cometdoor/configuration/delta.py
+++ b/cometdoor/configuration/delta.py
@@ -3,7 +3,7 @@
 Configurations of thousands of routes change by a few routes at a time, up to three times a second, and some
 proxies have links of half a megabyte per second. Bodies are split into chunks where one JSON object of a list
 ends and the next begins, so that a changed route is a changed chunk; the delta refers to runs of chunks of
-the base and contains the new bytes. The result is exact to the byte, and the content is never interpreted.
+the base and contains the new bytes. Decoding restores the body byte for byte; the JSON is never parsed.
 """
 
 from __future__ import annotations
@@ -15,21 +15,22 @@
 from cometdoor.errors import CometdoorError
 
 CHUNK_SEPARATOR = b"},"
-COMPRESSION_LEVEL = 1  # of zlib; 1,000 routes take 0.079 of their bytes. Level 6: 0.072, in twice the time
+# Level 1 of zlib reduces 1,000 routes to 0.079 of their size; level 6 to 0.072, in twice the time.
+COMPRESSION_LEVEL = 1
 
 
 class Delta(msgspec.Struct, array_like=True):
     """Instructions to build a body from a base."""
 
-    checksum: int  # CRC 32 of the body
+    checksum: int  # CRC-32 of the body
     size: int  # of the body, bytes
-    # A pair copies the chunks of the base from the first position up to, not including, the second one; bytes
-    # are added as they are.
+    # A pair copies the chunks of the base from the first position up to, but not including, the second one;
+    # bytes are appended unchanged.
     instructions: list[tuple[int, int] | bytes]
 
 
 class DeltaError(CometdoorError):
-    """A delta or compressed body is corrupt, or the delta has another base; fetch the complete body."""
+    """A delta or compressed body is corrupt, or the delta has another base; the complete body is needed."""
 
 
 _encoder = msgspec.msgpack.Encoder()
--- a/cometdoor/configuration/document.py
+++ b/cometdoor/configuration/document.py
@@ -1,6 +1,6 @@
-"""The configuration document: its schema, and all its checks with the path of each problem. No I/O.
+"""The configuration document: its schema and its validation, which reports the path of each problem. No I/O.
 
-Keys are written with hyphens in the JSON document; fields that this version does not know are ignored.
+Keys are written with hyphens in the JSON document; unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cometdoor.host.dataclass_settings import CheckedModel, aliased, convert
 from cometdoor.host.settings_validation import SettingsError, SettingsProblem
 
-DOCUMENT_NAME = "configuration"  # in problems, in place of a file's name
+DOCUMENT_NAME = "configuration"  # reported in place of a file name
 ROUTE_TYPES = ("idempotent", "non_idempotent", "keyed", "download")
 PATH_PATTERN = re.compile(r"/[!-~]*")
 
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True)
 class Service(CheckedModel):
-    """A service whose instances register with its name."""
+    """A service whose instances register under its name."""
 
     name: str
     health_path: str = aliased("health-path", default="/health")
-    max_connections: int = aliased("max-connections", default=100)  # to one backend
-    deduplicates: bool = False  # it recognises repeated requests itself
+    max_connections: int = aliased("max-connections", default=100)  # per backend
+    deduplicates: bool = False  # the service recognises repeated requests itself
 
 
 @dataclass(frozen=True)
@@ -80,7 +80,7 @@
 class Document(CheckedModel):
     """A configuration of the mesh."""
 
-    revision: int  # from 1 on, higher with each change
+    revision: int  # starts at 1 and increases with each change
     services: list[Service] = field(default_factory=list)
     limits: Limits = field(default_factory=Limits)
     hosts: list[HostRoutes] = field(default_factory=list)
@@ -92,7 +92,7 @@
     if len(json_object) < len(pairs):
         names = [name for name, _ in pairs]
         duplicate = next(name for name in names if names.count(name) > 1)
-        raise ValueError(f"{duplicate!r} appears twice in one table")
+        raise ValueError(f"{duplicate!r} is a duplicate key of one object")
     return json_object
 
 
@@ -108,7 +108,7 @@
         content = json.loads(body.decode(), object_pairs_hook=_reject_duplicates)
     except (ValueError, RecursionError) as error:
         raise SettingsError(
-            [SettingsProblem(DOCUMENT_NAME, "", f"it can't be read whole: {error}")]
+            [SettingsProblem(DOCUMENT_NAME, "", f"it can't be decoded as JSON: {error}")]
         ) from error
     return convert(content, Document, DOCUMENT_NAME, _check)
 
@@ -119,26 +119,32 @@
     services: set[str] = set()
     for index, service in enumerate(document.services):
         if not service.name:
-            yield f"services.{index}.name", "it is empty"
+            yield f"services.{index}.name", "must not be empty"
         elif service.name in services:
-            yield f"services.{index}.name", f"{service.name} is another service's too"
+            yield f"services.{index}.name", f"{service.name} is already the name of another service"
         services.add(service.name)
         # The inbound proxy uses both values without further checks: in the request line of health checks, and
         # as the size of a connection pool.
         if not PATH_PATTERN.fullmatch(service.health_path):
-            yield f"services.{index}.health-path", f"{service.health_path!r} is no path"
+            yield (
+                f"services.{index}.health-path",
+                f"{service.health_path!r} is not a path of visible ASCII characters that starts with a slash",
+            )
         if service.max_connections < 1:
             yield f"services.{index}.max-connections", f"{service.max_connections} is not at least 1"
     seen_prefixes: set[tuple[str, str]] = set()
     for host_index, host in enumerate(document.hosts):
         if not host.hostname.strip():
-            yield f"hosts.{host_index}.hostname", "it is empty"
+            yield f"hosts.{host_index}.hostname", "must not be empty"
         for index, route in enumerate(host.host_routes):
             path = f"hosts.{host_index}.host-routes.{index}"
             yield from _check_route(route, path, services)
             prefix_key = host.hostname.lower(), route.path_prefix
             if prefix_key in seen_prefixes:
-                yield f"{path}.path-prefix", f"{route.path_prefix} of {host.hostname} is another route's too"
+                yield (
+                    f"{path}.path-prefix",
+                    f"{route.path_prefix} of {host.hostname} is already the prefix of another route",
+                )
             seen_prefixes.add(prefix_key)
 
 
@@ -153,11 +159,11 @@
     if route.max_attempts < 1:
         yield f"{path}.max-attempts", f"{route.max_attempts} is not at least 1"
     if route.service is None and route.traffic_split is None:
-        yield f"{path}.service", "missing, and there is no traffic-split either"
+        yield f"{path}.service", "either service or traffic-split is required"
     for weighted_service in route.weighted_services():
         if weighted_service.service not in services:
-            yield f"{path}.service", f"{weighted_service.service!r} is no service of this configuration"
+            yield f"{path}.service", f"{weighted_service.service!r} is not a service of this configuration"
         if weighted_service.weight < 0:
             yield f"{path}.traffic-split", f"the weight {weighted_service.weight} is below 0"
     if sum(weighted_service.weight for weighted_service in route.weighted_services()) <= 0:
-        yield f"{path}.traffic-split", "the weights sum to 0"
+        yield f"{path}.traffic-split", "the sum of the weights is not above 0"
--- a/cometdoor/configuration/routes.py
+++ b/cometdoor/configuration/routes.py
@@ -1,4 +1,4 @@
-"""Routing by a configuration: the route of a request's host with the longest matching prefix. No I/O."""
+"""Routing of requests: selects the route of the host with the longest matching path prefix. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     document : Document
         The configuration.
     services : dict[str, Service]
-        Its services by name.
+        Services of the configuration by name.
     """
 
     def __init__(self, document: Document) -> None:
--- a/cometdoor/gossip/anti_entropy.py
+++ b/cometdoor/gossip/anti_entropy.py
@@ -15,16 +15,16 @@
 from cometdoor.wire.gossip import DigestReply, DigestRequest, NodeRecord
 
 ANTI_ENTROPY_INTERVAL_S = 0.25  # mean time between comparisons
-SHUFFLE_INTERVAL_S = 2.0  # mean time between swaps of neighbours: each new neighbour is a new connection
+SHUFFLE_INTERVAL_S = 2.0  # mean time between swaps of neighbours; each new neighbour costs a new connection
 INTERVAL_JITTER = (0.8, 1.2)  # random factors, so that processes started together do not stay synchronised
 # Every other comparison is with a neighbour. These are the probabilities that its partner is a seed or a
 # suspected node instead. Trying suspected nodes heals a partition, which ends only when a process contacts
-# the other side. Once the newest suspicion is older than `LONG_SUSPECTED_S`, the nodes are tried seldom,
-# since most nodes suspected for so long never return.
+# the other side. Once the newest suspicion is older than `LONG_SUSPECTED_S`, suspected nodes are tried
+# less often, since most nodes suspected for so long never return.
 SEED_PARTNER_SHARE = 0.1
 SUSPECTED_PARTNER_SHARE, LONG_SUSPECTED_PARTNER_SHARE, LONG_SUSPECTED_S = 0.5, 0.03, 60.0
-FULL_SYNC_BELOW_SHARE = 0.5  # a peer with less than this share of our record count is sent all records
-MONITORED_SUCCESSORS = 2  # on the ring: each node monitors this many, and is monitored by as many
+FULL_SYNC_BELOW_SHARE = 0.5  # a peer with less than this share of the local record count is sent all records
+MONITORED_SUCCESSORS = 2  # on the hash ring: each node monitors this many, and is monitored by as many
 
 
 class AntiEntropy:
@@ -39,7 +39,7 @@
         self._partner_turn = 0
 
     def is_due(self, now: float) -> bool:
-        """Whether it is time for a comparison; if so, the next one is scheduled."""
+        """Return whether a comparison is due; if so, schedule the next one."""
         if now < self._next_comparison_at:
             return False
         self._next_comparison_at = now + ANTI_ENTROPY_INTERVAL_S * self._rng.uniform(*INTERVAL_JITTER)
@@ -70,7 +70,7 @@
         return self._rng.choice(candidates) if candidates else None
 
     def neighbours_to_swap(self, now: float) -> list[str]:
-        """Return a sample of the view if a swap is due, else nothing."""
+        """Return a sample of the view if a swap is due, else an empty list."""
         if now < self._next_shuffle_at:
             return []
         self._next_shuffle_at = now + SHUFFLE_INTERVAL_S * self._rng.uniform(*INTERVAL_JITTER)
@@ -106,7 +106,7 @@
         return [records[node] for node, version in mine.items() if version > theirs.get(node, -1)]
 
     def build_second_request(self, reply: DigestReply, sender: str, revision: int) -> DigestRequest | None:
-        """Build the request with the versions in the buckets that differ; None if none does."""
+        """Build the request with the versions in the buckets that differ; None if no bucket differs."""
         buckets = self._table.differing_buckets(reply.bucket_digests)
         if not buckets:
             return None
--- a/cometdoor/gossip/configuration_exchange.py
+++ b/cometdoor/gossip/configuration_exchange.py
@@ -18,7 +18,7 @@
 from cometdoor.wire.peer_connection import PeerError
 
 FETCH_TIMEOUT_S = 1.0  # after this time without a reply another fetch may start
-MAX_RETAINED_REVISIONS = 4  # as bases of deltas; the one in force is among them
+MAX_RETAINED_REVISIONS = 4  # bodies kept as bases of deltas, including the one in force
 log = structlog.get_logger()
 
 OnFetched = Callable[[int, bytes], None]  # revision and body of a newer configuration
@@ -33,7 +33,7 @@
     Attributes
     ----------
     revision : int
-        Of the configuration in force; 0 for none. It never decreases.
+        Revision of the configuration in force, or 0 if there is none; it never decreases.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._fetching_until = 0.0  # loop time before which no other fetch starts
 
     def on_configuration(self, revision: int, body: bytes) -> None:
-        """Serve a configuration from now on; it is newer than the one before and in force."""
+        """Serve a configuration that is now in force; it must be newer than the previous one."""
         self.revision = revision
         self._bodies[revision] = body
         if len(self._bodies) > MAX_RETAINED_REVISIONS:
--- a/cometdoor/gossip/directory.py
+++ b/cometdoor/gossip/directory.py
@@ -1,15 +1,16 @@
-"""Membership of the mesh as one process knows it: push gossip, anti-entropy and suspicion. No I/O.
+"""Membership state of one process of the mesh: push gossip, anti-entropy and suspicion. No I/O.
 
 New records are sent at once to a few neighbours, which forward them in turn (push gossip). Several times a
 second all records are compared with those of one peer (`anti_entropy`), which repairs what push gossip
-missed. The neighbours are a partial view of the mesh (`partial_view`); the seeds are the last resort.
+missed. The neighbours are a partial view of the mesh (`partial_view`); the seeds are the fallback.
 
-Only its owner raises a record's version, and only to publish something. Others mark a version as suspected
-when its owner does not answer (`failure_detector`); the owner refutes that with a higher version, as in SWIM
-(Das, Gupta and Motivala, DSN 2002). A process that restarted, and so lost its version, does the same when it
-receives the record of its former incarnation.
+Only the process that owns a record raises its version, and only to publish the record. Others mark a version
+as suspected when its owner does not answer (`failure_detector`); the owner refutes that with a higher
+version, as in SWIM (Das, Gupta and Motivala, DSN 2002). A process that restarted, and so lost its version,
+does the same when it receives the record of its former incarnation.
 
-Methods take the events and the time, in seconds; what is to be sent is left in `outbox` and `requests`.
+Methods are passed the events and the time in seconds. They append messages to `outbox` and `requests`, from
+which the caller sends them.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from cometdoor.gossip.record_table import DEAD_RECORD_TTL_S, RecordTable, effective_version
 from cometdoor.wire.gossip import DigestReply, DigestRequest, GossipUpdate, IndirectProbe, NodeRecord
 
-GOSSIP_FANOUT = 3  # neighbours that a new record is sent to at once
+GOSSIP_FANOUT = 3  # number of neighbours to which a new record is sent at once
 
 GossipRequest = DigestRequest | IndirectProbe
 OnRecordChanged = Callable[[NodeRecord], None]
@@ -41,7 +42,7 @@
     records : dict[str, NodeRecord]
         All records by node, including suspected ones; callers must not change it.
     revision : int
-        Of the newest configuration in force here; 0 for none.
+        Revision of the newest configuration in force here, or 0 if there is none.
     on_record_changed : OnRecordChanged
         Called with each record of another process that is new or newer.
     outbox : list[tuple[str, GossipUpdate]]
@@ -83,7 +84,7 @@
         return self._table.alive()
 
     def is_suspected(self, node: str) -> bool:
-        """Whether a node is suspected of having failed."""
+        """Return whether a node is suspected of having failed."""
         return node in self._table.suspected_since
 
     def monitored(self) -> list[NodeRecord]:
@@ -104,7 +105,7 @@
         self._disseminate([])
 
     def _refute(self, version: int) -> None:
-        """Publish a version above `version`, at which others hold a former incarnation or a suspicion."""
+        """Publish a version above `version`, under which others store a former incarnation or a suspicion."""
         self.local_record = msgspec.structs.replace(
             self.local_record, version=max(version, self.local_record.version)
         )
@@ -147,7 +148,7 @@
             if self._merge(record):
                 new_records.append(record)
             elif record.address == update.sender and self._has_former_incarnation(record):
-                # A sender that restarted must see its former record, so that it refutes it.
+                # A restarted sender refutes its former record only once it receives it.
                 self._send_update(update.sender, [self.records[record.node]])
         if new_records:
             self._disseminate(new_records, exclude=update.sender)
@@ -187,7 +188,7 @@
                 self.requests += [(helper, IndirectProbe(address)) for helper in chosen_helpers]
 
     def on_indirect_probe_reply(self, address: str, is_reachable: bool | None, now: float) -> None:
-        """Count a helper's reply about the node at `address`; None if the helper itself did not reply."""
+        """Count a helper's reply about the node at `address`; None if the helper did not reply."""
         self._now = now
         failed_record = self._failure_detector.on_probe_reply(address, is_reachable)
         if failed_record is not None and self.records.get(failed_record.node) == failed_record:
--- a/cometdoor/gossip/failure_detector.py
+++ b/cometdoor/gossip/failure_detector.py
@@ -15,19 +15,19 @@
 
 from cometdoor.wire.gossip import NodeRecord
 
-INDIRECT_PROBES = 2  # helpers that are asked
+INDIRECT_PROBES = 2  # number of helpers that are asked to ping a node
 INDIRECT_PROBE_TIMEOUT_S = 4.0  # after this time without all replies the node may be probed again
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Indirect probes of one node that are under way."""
+    """Indirect probes of one node that are in progress."""
 
     record: NodeRecord
     awaited_replies: int
-    expires_at: float  # s, on the clock of `now`
+    expires_at: float  # in seconds, on the same clock as `now`
     unreachable_replies: int = 0
-    is_refuted: bool = False  # a helper reached the node
+    is_refuted: bool = False  # at least one helper reached the node
 
 
 class FailureDetector:
@@ -39,7 +39,7 @@
     def suspect(
         self, record: NodeRecord, rng: random.Random, helpers: Sequence[str], now: float
     ) -> list[str]:
-        """Choose the helpers that are asked to probe a node; none while probes of it are under way."""
+        """Choose the helpers that are asked to probe a node; none while probes of it are in progress."""
         existing = self._suspicions.get(record.address)
         if existing is not None and existing.expires_at > now:
             return []
@@ -49,7 +49,7 @@
         return chosen
 
     def on_probe_reply(self, address: str, is_reachable: bool | None) -> NodeRecord | None:
-        """Count a helper's reply; None stands for a helper that did not reply.
+        """Count a helper's reply; `is_reachable` is None if the helper did not reply.
 
         Returns
         -------
--- a/cometdoor/gossip/partial_view.py
+++ b/cometdoor/gossip/partial_view.py
@@ -9,8 +9,8 @@
 import random
 from collections.abc import Callable, Iterable
 
-ACTIVE_VIEW_SIZE = 12  # neighbours of a process
-SHUFFLE_SAMPLE_SIZE = 4  # neighbours in one swap
+ACTIVE_VIEW_SIZE = 12  # maximum number of neighbours of a process
+SHUFFLE_SAMPLE_SIZE = 4  # number of neighbours sent in one swap
 
 
 class PartialView:
@@ -21,7 +21,7 @@
     addresses : Iterable[str]
         Internal addresses of the seeds.
     may_be_neighbour : Callable[[str], bool]
-        Whether an address may be added: it is not this process's and not a suspected node's.
+        Returns whether an address may be added: False for this process's own and for suspected nodes'.
     rng : random.Random
         Source of the samples.
     """
--- a/cometdoor/gossip/record_table.py
+++ b/cometdoor/gossip/record_table.py
@@ -1,4 +1,4 @@
-"""The node records that this process knows, with digests over them and their order on a hash ring. No I/O.
+"""The node records of one process, with digests over them and their order on a hash ring. No I/O.
 
 Digests are XORs of record hashes: one over all records, and one for each of `DIGEST_BUCKETS` buckets. They
 are updated with each change. Two processes with the same records have the same digests.
@@ -19,9 +19,9 @@
 DEAD_RECORD_TTL_S = 600.0  # a record is removed after being suspected for this time
 
 
-@lru_cache(maxsize=8192)  # storing, removing and comparing a record ask for the same hash again and again
+@lru_cache(maxsize=8192)  # storing, removing and comparing a record compute the same hash repeatedly
 def record_hash(node: str, version: int) -> int:
-    """Return the contribution of one record to the digests, 64 bits."""
+    """Return the 64-bit hash that one record contributes to the digests."""
     return int.from_bytes(blake2b(b"%s %d" % (node.encode(), version), digest_size=8).digest(), "big")
 
 
@@ -46,7 +46,8 @@
     records : dict[str, NodeRecord]
         All records by node, including suspected ones; only `put` and `remove` change it.
     suspected_since : dict[str, float]
-        When each suspected node was first suspected, seconds; the last one suspected is the last key.
+        Time in seconds at which each suspected node was first suspected; the last key is the node that was
+        suspected last.
     """
 
     def __init__(self) -> None:
@@ -92,7 +93,7 @@
         return [record for record in self.records.values() if not record.is_suspected]
 
     def is_address_suspected(self, address: str) -> bool:
-        """Whether a suspected node has that address."""
+        """Return whether a suspected node has this address."""
         return any(self.records[node].address == address for node in self.suspected_since)
 
     def successors(self, node: str, count: int) -> list[NodeRecord]:
@@ -129,7 +130,7 @@
         return versions
 
     def for_sending(self, records: Iterable[NodeRecord], now: float) -> list[NodeRecord]:
-        """Return the records with `suspected_for_s` up to date: a duration, since peers' clocks differ."""
+        """Return the records with `suspected_for_s` updated: a duration, since peers' clocks differ."""
         return [
             msgspec.structs.replace(record, suspected_for_s=now - self.suspected_since[record.node])
             if record.is_suspected
--- a/cometdoor/gossip/server.py
+++ b/cometdoor/gossip/server.py
@@ -1,4 +1,4 @@
-"""Gossip over a process's connections: the timer and the messages of a `Directory`."""
+"""Gossip over a process's connections: runs the timer of a `Directory` and transmits its messages."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 from cometdoor.wire.peer_connection import PeerConnection, PeerError
 
-TICK_INTERVAL_S = 0.05  # of the directory's timer
+TICK_INTERVAL_S = 0.05  # period of the directory's timer
 
 
 class GossipServer:
@@ -80,7 +80,7 @@
             self._loop.call_soon(on_reply, call)
 
     def receive(self, message: Message, connection: PeerConnection, call_id: int) -> bool:
-        """Handle a message of the gossip protocol; False if it is of another protocol."""
+        """Handle a message of the gossip protocol; return False for a message of another protocol."""
         match message:
             case GossipUpdate():
                 self.directory.on_update(message, self._loop.time())
--- a/cometdoor/wire/call_control.py
+++ b/cometdoor/wire/call_control.py
@@ -17,7 +17,7 @@
     """Reply to a call that this process can't accept; the call had no effect."""
 
     reason: str
-    leader: str = ""  # internal address of the replica that leads, where known
+    leader: str = ""  # internal address of the leader; empty if unknown
 
 
 class CancelCall(msgspec.Struct, tag="c", array_like=True):
--- a/cometdoor/wire/connection_statistics.py
+++ b/cometdoor/wire/connection_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of the connections to other processes, for the log: reasons of closes, silence of peers."""
+"""Statistics of the connections to other processes, for the log: reasons of closes, delays of pings."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 class ConnectionStatistics:
     """Counts of closed connections by reason, and the longest time that a peer took to answer a ping.
 
-    Both show a peer or a link that is in trouble while the process at the other end runs.
+    Both reveal problems of a peer or a link while the process at the other end is still running.
     """
 
     def __init__(self) -> None:
         self.closed: Counter[str] = Counter()  # closed connections by reason, since the start
-        self._reported: Counter[str] = Counter()  # what of them was reported
+        self._reported: Counter[str] = Counter()  # those of them that were already reported
         self._max_ping_s = 0.0
 
     def on_closed(self, reason: str) -> None:
-        """Count a connection that was closed; `reason`: as its pending calls are told."""
+        """Count a closed connection; `reason` is that of the errors of its pending calls, if it was open."""
         self.closed[reason] += 1
 
     def on_ping_answered(self, elapsed_s: float) -> None:
-        """Record that something arrived `ping_s` seconds after a ping."""
+        """Record that data arrived `elapsed_s` seconds after a ping; any data counts as an answer."""
         self._max_ping_s = max(self._max_ping_s, elapsed_s)
 
     def report(self) -> dict[str, object]:
--- a/cometdoor/wire/connections.py
+++ b/cometdoor/wire/connections.py
@@ -2,7 +2,7 @@
 
 A process dials the peers that it calls and accepts connections of those that call it. A connection on which
 a reply is awaited and nothing arrives is pinged, and closed if the ping is not answered either: a peer that
-lost power, or is behind a network partition, never closes its connections.
+lost power, or is cut off by a network partition, never closes its connections.
 """
 
 from __future__ import annotations
@@ -22,17 +22,19 @@
     PendingCall,
 )
 
-SWEEP_INTERVAL_S = 0.15  # between checks of all connections
-# A ping is sent after this time without a byte while a reply is awaited. Three pings remain unanswered before
-# `KEEPALIVE_TIMEOUT_S`; a busy peer answers up to 0.3 s late.
+SWEEP_INTERVAL_S = 0.15  # time between checks of all connections
+# A ping is sent after this time without received data while a reply is awaited. Three pings remain unanswered
+# before `KEEPALIVE_TIMEOUT_S`; a busy peer answers up to 0.3 s late.
 KEEPALIVE_PING_AFTER_S = 0.35
-# A connection without a byte for this long is closed although its peer's machine sends on others. It is
-# silent for over `KEEPALIVE_TIMEOUT_S` where large messages to others precede its own on a busy link.
+# A connection that receives nothing for this time is closed even if the peer's machine sends data on other
+# connections. On a busy link, large messages on other connections can delay those of this one by more than
+# `KEEPALIVE_TIMEOUT_S`.
 LIVE_PEER_TIMEOUT_S = 3.0
 CONNECT_TIMEOUT_S = 0.8
-# After a failed dial calls to the peer fail at once for this time: each would cost a handshake.
+# After a failed dial, calls to the peer fail at once for this time, since each would cost a handshake.
 RECONNECT_BACKOFF_S = 0.15
-IDLE_TIMEOUT_S = 30.0  # a dialled connection is closed after this time without use: gossip neighbours change
+# A dialled connection is closed after this time without use, since gossip neighbours change.
+IDLE_TIMEOUT_S = 30.0
 MAX_UNSENT_BYTES = 8 << 20  # in one connection's write buffer; beyond that calls and messages are rejected
 
 
@@ -49,20 +51,20 @@
         loop : asyncio.AbstractEventLoop
             Event loop of the process.
         handler : Handler
-            Called with each message that arrives and is no reply: the message, its connection, and the
-            number of its call for `PeerConnection.respond` (0: it awaits no reply).
+            Called with each received message that is not a reply: the message, its connection, and the
+            number of its call for `PeerConnection.respond` (0 if it awaits no reply).
         link : LinkScheduler | None
-            Schedules what is sent; None: it is sent at once.
+            Schedules outgoing data; with None it is sent at once.
         """
         self.link = link or LinkScheduler(loop, 0.0, "")
         self.loop = loop
         self.handler = handler
         self.statistics = ConnectionStatistics()
         self.last_received_from: dict[str, float] = {}
-        self.last_call_id = 0  # ids rise over all connections together; see `PeerConnection.was_sent`
+        self.last_call_id = 0  # ids increase across all connections; see `PeerConnection.was_sent`
         self._outbound: dict[tuple[str, str], PeerConnection] = {}  # by peer and channel
         self._inbound: dict[PeerConnection, None] = {}
-        self._backoff_until: dict[str, float] = {}  # by peer that could not be dialled, on the loop's clock
+        self._backoff_until: dict[str, float] = {}  # on the loop's clock, by peer that could not be dialled
         self._server: asyncio.AbstractServer | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
 
@@ -93,7 +95,7 @@
             connection.close("this process shuts down")
 
     def discard(self, connection: PeerConnection) -> None:
-        """Forget a closed connection; if it never opened, back off from its peer."""
+        """Remove a closed connection; if it never opened, start the backoff for its peer."""
         self._inbound.pop(connection, None)
         for key, outbound in list(self._outbound.items()):
             if outbound is connection:
@@ -155,7 +157,7 @@
         """
         connection = self._connection_to(peer, channel)
         if connection is None:
-            return PeerError("connect", peer, "connecting failed just now; backing off", False)
+            return PeerError("connect", peer, "the last connection attempt failed; backing off", False)
         if connection.unsent_bytes() > MAX_UNSENT_BYTES:
             return PeerError("write", peer, "the send buffer is full", False)
         self.last_call_id += 1
@@ -175,7 +177,7 @@
                 connection.close("idle timeout")
             if not connection.is_open or not connection.pending_calls:
                 if not connection.pending_calls:
-                    # Silence is normal without a call: after the next call a ping is due, not the timeout.
+                    # Silence is normal without a call; the next call must lead to a ping before the timeout.
                     connection.last_received_at = max(
                         connection.last_received_at, now - KEEPALIVE_PING_AFTER_S
                     )
--- a/cometdoor/wire/consensus.py
+++ b/cometdoor/wire/consensus.py
@@ -8,19 +8,19 @@
 
 
 class RequestVote(msgspec.Struct, tag="v", array_like=True):
-    """A candidate asks for a vote."""
+    """Ask a member to vote for the sender in an election."""
 
     term: int
     candidate: str
     last_index: int
     last_term: int
     is_prevote: bool  # only asks whether the vote would be granted (Ongaro's dissertation, 9.6)
-    address: str  # internal address that the reply goes to; the same in the messages below
+    address: str  # internal address to which the reply is sent, as in the messages below
     is_leadership_transfer: bool = False  # the leader named the candidate as its successor (`TimeoutNow`)
 
 
 class RequestVoteReply(msgspec.Struct, tag="vr", array_like=True):
-    """A member grants or refuses its vote."""
+    """Reply to a `RequestVote`: the vote is granted or refused."""
 
     term: int
     voter: str
@@ -38,7 +38,7 @@
     previous_term: int
     entries: list[LogEntry]
     commit_index: int
-    round: int  # number of the leader's heartbeat round, repeated in replies: proves leadership for reads
+    round: int  # number of the leader's heartbeat round; its echo in replies confirms leadership for reads
 
 
 class AppendEntriesReply(msgspec.Struct, tag="ar", array_like=True):
@@ -49,8 +49,8 @@
     success: bool
     index: int  # of the last entry on the follower's disk; on failure: where the next attempt may start
     round: int  # of the message that it acknowledges; 0 for a message sent in chunks
-    accepts_chunks: bool = False  # it knows `TransferChunk`; processes of earlier builds don't
-    supports_learners: bool = False  # a build without this treats every member as a voter
+    accepts_chunks: bool = False  # it supports `TransferChunk`; earlier builds don't
+    supports_learners: bool = False  # builds without learner support treat every member as a voter
 
 
 class InstallSnapshot(msgspec.Struct, tag="is", array_like=True):
@@ -111,7 +111,7 @@
 
 
 class LeaderReply(msgspec.Struct, tag="li", array_like=True):
-    """The leader and the members that the replica knows."""
+    """Reply to a `LeaderRequest`: the leader and the members known to the replica."""
 
-    leader: str  # internal address; empty: none is known
+    leader: str  # internal address; empty if unknown
     members: list[str] = []  # internal addresses
--- a/cometdoor/wire/forwarding.py
+++ b/cometdoor/wire/forwarding.py
@@ -14,7 +14,7 @@
     attempt_id: bytes
     method: bytes
     target: bytes
-    headers: list[tuple[bytes, bytes]]  # end-to-end ones, without those that the inbound proxy adds itself
+    headers: list[tuple[bytes, bytes]]  # end-to-end headers, without those that the inbound proxy adds itself
     body: bytes
     remaining_ms: float  # until the client's deadline
     latency_target_ms: float
@@ -40,7 +40,7 @@
     """The request was not executed and never will be: the inbound proxy rejected it."""
 
     reason: str
-    retry_after_ms: float = 0.0  # until there may be capacity
+    retry_after_ms: float = 0.0  # time until there may be capacity
 
 
 class AttemptFailed(msgspec.Struct, tag="b", array_like=True):
--- a/cometdoor/wire/frames.py
+++ b/cometdoor/wire/frames.py
@@ -1,9 +1,9 @@
 """Framing: every message between the processes of the mesh, as bytes.
 
-A frame is four bytes of length (big-endian) and a `Frame` in msgpack. Messages are arrays that start with a
-tag of one or two letters. A call and its reply carry the same number; 0 stands for a message that awaits no
-reply. Fields are only ever added at the end, with a default, so that processes of two versions understand
-each other during a rolling upgrade.
+A frame is a four-byte length (big-endian) followed by a `Frame` in msgpack. Messages are arrays that start
+with a tag of one or two letters. A call and its reply carry the same number; 0 stands for a message that
+awaits no reply. Fields are only ever added at the end, with a default, so that processes of two versions can
+communicate during a rolling upgrade.
 """
 
 from __future__ import annotations
@@ -91,7 +91,7 @@
 
 
 class FrameError(CometdoorError):
-    """The peer sent bytes that are no frame of this protocol; its connection is to be closed."""
+    """The peer sent bytes that are not a valid frame of this protocol; its connection must be closed."""
 
 
 def encode(frame: Frame) -> bytes:
@@ -121,7 +121,7 @@
         while len(buffer) - offset >= 4:
             size = int.from_bytes(buffer[offset : offset + 4], "big")
             if size > MAX_FRAME_BYTES:
-                raise FrameError(f"a frame of {size} bytes")
+                raise FrameError(f"the frame length of {size} bytes exceeds the limit")
             if len(buffer) - offset - 4 < size:
                 break
             try:
--- a/cometdoor/wire/gossip.py
+++ b/cometdoor/wire/gossip.py
@@ -6,13 +6,13 @@
 
 
 class Backend(msgspec.Struct, array_like=True, frozen=True):
-    """A backend as the proxy beside it knows it."""
+    """State of a backend, as published by the proxy beside it."""
 
     instance: str
     service: str
     address: str
     revision: str
-    capacity: int  # requests at a time
+    capacity: int  # number of concurrent requests
     state: str  # "ready", "draining" or "down"
     slow_start_remaining_s: float = 0.0
 
@@ -20,7 +20,7 @@
 class NodeRecord(msgspec.Struct, array_like=True, frozen=True):
     """A process's record of itself in the membership table.
 
-    Only the process itself raises the version; of two records the one with the higher version holds.
+    Only the process itself raises the version; of two records the one with the higher version wins.
     """
 
     node: str
@@ -33,7 +33,7 @@
     backend: Backend | None = None
     control_address: str = ""  # where it serves the admin API
     is_suspected: bool = False  # set by others for this version; the node refutes it with a higher version
-    suspected_for_s: float = 0.0  # how long already, at the time of sending
+    suspected_for_s: float = 0.0  # duration of the suspicion when the record was sent
 
 
 class GossipUpdate(msgspec.Struct, tag="w", array_like=True):
@@ -41,7 +41,7 @@
 
     sender: str
     records: list[NodeRecord]
-    revision: int  # of the newest configuration in force that the sender has; 0 for none
+    revision: int  # of the newest configuration in force at the sender; 0 if there is none
 
 
 class DigestRequest(msgspec.Struct, tag="cm", array_like=True):
@@ -55,17 +55,17 @@
     revision: int
     record_count: int
     digest: int  # XOR over the hashes of all records
-    buckets: list[int] = []  # that differ
-    versions: dict[str, int] = {}  # effective versions of all nodes in them
-    neighbours: list[str] = []  # sample of the sender's partial view, to be swapped for one of the receiver's
+    buckets: list[int] = []  # numbers of the buckets that differ
+    versions: dict[str, int] = {}  # effective versions of all nodes in these buckets
+    neighbours: list[str] = []  # sample of the sender's partial view, swapped for one of the receiver's
 
 
 class DigestReply(msgspec.Struct, tag="cd", array_like=True):
-    """Differences that a `DigestRequest` found; without any, both sides have the same records."""
+    """Differences found by a `DigestRequest`; if there are none, both sides have the same records."""
 
     sender: str
     revision: int
-    records: list[NodeRecord] = []  # that are newer than the requester's
+    records: list[NodeRecord] = []  # records that are newer than the requester's
     bucket_digests: list[int] = []  # by bucket, where the digests over all records differ
     requested_nodes: list[str] = []  # nodes whose newer records the requester should send
     neighbours: list[str] = []
@@ -78,7 +78,7 @@
 
 
 class IndirectProbeReply(msgspec.Struct, tag="rd", array_like=True):
-    """Whether that process replied to the ping."""
+    """Reply to an `IndirectProbe`: whether the probed process replied to the ping."""
 
     is_reachable: bool
 
@@ -92,6 +92,6 @@
 class ConfigurationReply(msgspec.Struct, tag="ci", array_like=True):
     """The configuration in force, compressed or as a delta (`cometdoor.configuration.delta`)."""
 
-    revision: int  # 0: nothing newer
+    revision: int  # 0: there is no newer configuration
     body: bytes = b""
     base_revision: int = 0  # the revision that `body` is a delta to; 0: `body` is complete
--- a/cometdoor/wire/keys.py
+++ b/cometdoor/wire/keys.py
@@ -9,7 +9,7 @@
 from cometdoor.wire.forwarding import ForwardResponse
 from cometdoor.wire.log_entries import Claim
 
-KEYS_CLOSED = "-"  # as the owner in a `ClaimReply`: no new claims are accepted for now
+KEYS_CLOSED = "-"  # value of `KeyOwner.owner`: no new claims are accepted for now
 
 
 class ClaimRequest(msgspec.Struct, tag="k", array_like=True):
@@ -43,7 +43,7 @@
 
 
 class OperationReply(msgspec.Struct, tag="or", array_like=True):
-    """Outcome of an operation as far as its owner knows it."""
+    """Outcome of an operation, as known to its owner."""
 
     state: str  # "done", "running", "unrun" (released by its owner without executing) or "unknown"
     response: ForwardResponse | None = None  # if the state is "done"
--- a/cometdoor/wire/log_entries.py
+++ b/cometdoor/wire/log_entries.py
@@ -13,7 +13,7 @@
     control_address: str  # where it serves the admin API
     node: str = ""
     zone: str = ""
-    voter: bool = True  # False: a learner, which receives the log and counts in no majority
+    voter: bool = True  # False: a learner, which receives the log but is not counted in majorities
 
 
 class Noop(msgspec.Struct, tag="e0", array_like=True, frozen=True):
--- a/cometdoor/wire/peer_connection.py
+++ b/cometdoor/wire/peer_connection.py
@@ -1,7 +1,7 @@
 """One multiplexed connection between two processes of the mesh: many calls at once, identified by number.
 
 It is an `asyncio.Protocol` with callbacks, without a task or a future for each call: a forwarded request
-passes here twice, and waking a task each time would cost more than all of its framing. Everything written in
+passes here twice, and waking a task each time would cost more than its entire framing. Everything written in
 one iteration of the event loop is sent in one `write`.
 """
 
@@ -62,7 +62,7 @@
 
     connection: PeerConnection
     call_id: int
-    on_reply: OnReply | None  # None once replied to, failed or cancelled
+    on_reply: OnReply | None  # None after the reply, a failure or a cancellation
     encoded_frame: bytes
 
     def cancel(self) -> bool:
@@ -85,7 +85,7 @@
         return False
 
     def was_sent(self) -> bool:
-        """Whether the peer may have received any part of the call."""
+        """Return whether the peer may have received any part of the call."""
         return self.connection.was_sent(self.call_id)
 
     def discard(self) -> None:
@@ -95,17 +95,17 @@
 
 
 class PeerConnectionOwner(Protocol):
-    """What a connection needs of its owner, the `PeerConnections` of the process."""
+    """Interface that a connection requires of its owner, the `PeerConnections` of the process."""
 
     loop: asyncio.AbstractEventLoop
-    handler: Handler  # called with each message that is no reply
+    handler: Handler  # called with each message that is not a reply
     last_call_id: int  # of the newest call on any connection
     statistics: ConnectionStatistics
-    last_received_from: dict[str, float]  # by machine: when anything arrived from it, on any connection
+    last_received_from: dict[str, float]  # by machine: time of the last data from it, on any connection
     link: LinkScheduler
 
     def discard(self, connection: PeerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
 
 
 class PeerConnection(asyncio.Protocol):
@@ -121,24 +121,24 @@
         self.is_open = False
         self._connections = connections
         self._frame_decoder = FrameDecoder()
-        # Encoded frames, each with the id of its call: the peer's call, or the negative of one of this side.
+        # Encoded frames, each with the id of the peer's call, or the negative id of a call of this side.
         self._outgoing: list[tuple[int, bytes]] = []
         self._transport: asyncio.Transport | None = None
         self._is_flush_scheduled = False
-        self._last_sent_id = 0  # calls with higher ids have not been written here
+        self._last_sent_id = 0  # calls with higher ids have not been written to this connection
         self.last_received_at = self.last_used_at = connections.loop.time()
-        self._pinged_at: float | None = None  # when the oldest ping was sent after which nothing has arrived
+        self._pinged_at: float | None = None  # time of the oldest ping since which nothing has arrived
 
     # --- asyncio.Protocol ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set socket options and write what was queued while the peer was dialled."""
+        """Set socket options and write the frames queued while the peer was being dialled."""
         self._transport = self._connections.link.wrap(cast(asyncio.Transport, transport), keeps_order=False)
         self.machine = str((transport.get_extra_info("peername") or (id(self),))[0])
         raw_socket = transport.get_extra_info("socket")
         raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        # In milliseconds: twice the keepalive timeout, which acts first while replies are awaited.
+        # In milliseconds. Twice the keepalive timeout, which acts first while replies are awaited.
         raw_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(KEEPALIVE_TIMEOUT_S * 2000))
         self._transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_WATER_BYTES)
         self.last_received_at = self._connections.loop.time()
@@ -149,7 +149,7 @@
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        """Dispatch the messages that are complete; close the connection on any that is invalid."""
+        """Dispatch complete messages; close the connection if one is invalid."""
         self.last_received_at = self._connections.loop.time()
         self._connections.last_received_from[self.machine] = self.last_received_at
         if self._pinged_at is not None:
@@ -195,7 +195,7 @@
             self._connections.handler(message, self, frame.call_id)
 
     def ping(self) -> None:
-        """Ask the peer, which has been silent, whether it is alive."""
+        """Send a ping to a silent peer to check that it is alive."""
         if self._pinged_at is None:
             self._pinged_at = self._connections.loop.time()
         self.write(Frame(0, False, Ping()))
@@ -222,8 +222,8 @@
     def remove_unsent(self, data: bytes) -> bool:
         """Remove a queued frame; return False if it was written already.
 
-        It guards against a race: a request that is cancelled while the connection is being dialled would
-        otherwise be executed once the connection is open.
+        Otherwise a request that is cancelled while the connection is being dialled would be executed once the
+        connection is open.
         """
         for index, (_, queued) in enumerate(self._outgoing):
             if queued is data:
@@ -232,7 +232,7 @@
         return False
 
     def was_sent(self, call_id: int) -> bool:
-        """Whether a call on this connection was handed to the transport.
+        """Return whether a call on this connection was passed to the transport.
 
         How much of it is still in the transport's and the kernel's buffers when the connection is lost is
         unknown, so it then counts as received by the peer.
@@ -243,7 +243,7 @@
         self._is_flush_scheduled = False
         if self._outgoing and self._transport is not None and not self.is_closed:
             if self._transport.is_closing():
-                return  # the transport accepts nothing more: what is queued here is never sent
+                return  # a closing transport accepts no more data; the queued frames are never sent
             outgoing, self._outgoing = self._outgoing, []
             self._last_sent_id = self._connections.last_call_id
             if isinstance(self._transport, ScheduledTransport):
@@ -261,8 +261,8 @@
     def discard_queued(self, key: int) -> bool:
         """Discard a large frame that waits for the link if none of it was sent; return whether there was one.
 
-        Guards against a cancellation that overtakes its call: short frames go before large ones that wait.
-        `key`: the id of a call of the peer, for its reply, or the negative of one of this side.
+        Otherwise a cancellation could overtake its call: short frames are sent before queued large ones.
+        `key` is the id of a call of the peer, for its reply, or the negative id of a call of this side.
         """
         return isinstance(self._transport, ScheduledTransport) and self._transport.discard(key)
 
@@ -276,9 +276,9 @@
         Parameters
         ----------
         reason : str
-            For the `PeerError` of each pending call.
+            Reason in the `PeerError` of each pending call.
         step : str
-            For the same; it is ``"connect"`` whenever the connection never opened.
+            Step in these errors; replaced by ``"connect"`` if the connection never opened.
         """
         if self.is_closed:
             return
@@ -300,4 +300,4 @@
 
 
 Handler = Callable[[Message, PeerConnection, int], None]
-"""Called with a message, its connection, and the number to respond to (0: none)."""
+"""Called with a message, its connection, and the id of the call to respond to (0: no reply is awaited)."""
--- a/stories/wire/test_connections.py
+++ b/stories/wire/test_connections.py
@@ -105,7 +105,7 @@
     pair.call(LeaveRequest("x" * 200_000))
     waiting = pair.call(LeaveRequest("y" * 200_000))
     pair.wait(0.05)
-    # When the one that waits is cancelled
+    # When the waiting call is cancelled
     assert pair.cancel(waiting), "none of it was sent"
     pair.wait(2.0)
     # Then only the other one arrives
@@ -115,7 +115,7 @@
 
 @test("a large reply that is no longer wanted is not sent")
 def _() -> None:
-    # Given a peer whose link is busy with the reply to one call while that to another waits
+    # Given a peer whose link is busy with the reply to one call while the reply to another waits
     pair = Pair(bandwidth_mbps=3.5)
     pair.reply = LeaveRequest("z" * 200_000)
     pair.call(LeaveRequest("one"))
@@ -135,7 +135,7 @@
     "a connection that is silent while its peer sends on another one is kept, and is closed if nothing comes"
 )
 def _() -> None:
-    # Given a link slower than any settings say, and replies that take two seconds of it
+    # Given a link that is slower than configured anywhere, and replies that occupy it for two seconds
     pair = Pair()
     pair.reply = LeaveRequest("z" * 10_000)
     pair.loop.link_bytes_per_s = {"b": 30_000.0}
@@ -145,9 +145,9 @@
     # When the reply to one more call, on another connection, and the answers to its pings wait behind them
     pair.call(LeaveRequest("last"))
     pair.wait(4.0)
-    # Then it arrives on that connection
+    # Then the reply arrives on that connection
     assert pair.replies == [pair.reply] * 7 and pair.caller.statistics.closed == {}
-    # And when nothing at all comes for the timeout, the call fails
+    # And when nothing arrives on any connection for the timeout, the call fails
     pair.call(LeaveRequest("lost"))
     pair.loop.partitions = {("a", "b"), ("b", "a")}
     pair.wait(1.5)
--- a/tests/configuration/test_golden_deltas.py
+++ b/tests/configuration/test_golden_deltas.py
@@ -1,6 +1,6 @@
 """A configuration is encoded as by commit 4033f28 (fixtures/deltas.json).
 
-Other builds of zlib may compress to other bytes. Therefore recorded bytes are decompressed here, and bytes
+Other builds of zlib may produce different bytes. Therefore recorded bytes are decompressed here, and bytes
 that are compressed here are compared after decompression.
 """
 
@@ -17,9 +17,8 @@
 from tests.golden import check_field_order, load
 
 FIXTURE = load(Path(__file__).parent / "fixtures" / "deltas.json")
-RENAMED_FIELDS: dict[str, str] = {
-    "parts": "instructions"
-}  # the fixture's name of each field that was renamed since: today's
+# By name in the fixture, the present name of each field that was renamed since.
+RENAMED_FIELDS: dict[str, str] = {"parts": "instructions"}
 CASES = pytest.mark.parametrize("name", FIXTURE["cases"])
 FASTEST = b"\x78\x01"  # zlib's header: 32 kB window, the fastest level
 
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -1,6 +1,6 @@
 """Helpers for fixtures of earlier versions in JSON: bytes as {"hex": ...}, structs as lists of fields.
 
-Structs are found by tag and by position in others, never by name, so that classes may be renamed.
+Structs are found by tag and by position in others, never by name, so that classes can be renamed.
 """
 
 from __future__ import annotations
@@ -97,7 +97,7 @@
 
 
 def reachable(kinds: Iterable[StructType]) -> set[StructType]:
-    """Return all structs that these are made of, including themselves."""
+    """Return these structs and all structs in their fields, at any depth."""
     found: set[StructType] = set()
     pending = list(kinds)
     while pending:
@@ -114,13 +114,17 @@
     Two fields of one type that are swapped would encode as before and mean something else. Therefore a field
     may not take a name that another field of the struct had.
     """
-    assert not set(renamed.values()) & set(recorded), f"a field has taken over another's name: {renamed}"
-    assert set(renamed) <= set(recorded), f"renamed, and not in the fixture: {set(renamed) - set(recorded)}"
+    assert not set(renamed.values()) & set(recorded), (
+        f"a renamed field takes the name of another field: {renamed}"
+    )
+    assert set(renamed) <= set(recorded), (
+        f"renamed fields that are not in the fixture: {set(renamed) - set(recorded)}"
+    )
     expected = [renamed.get(name, name) for name in recorded]
     declared = list(kind.__struct_fields__)
     differ = {name: found for name, found in zip(recorded, declared, strict=False) if name != found}
     assert declared == expected, (
-        f"{kind.__name__} has {declared}, the fixture {recorded}; if nothing but names has changed, "
+        f"{kind.__name__} has {declared}, the fixture {recorded}; if only names have changed, "
         f"its fields were renamed: {differ}"
     )
     assert list(kind.__struct_encode_fields__) == expected, f"{kind.__name__} is encoded under other names"
--- a/tests/gossip/test_golden_digests.py
+++ b/tests/gossip/test_golden_digests.py
@@ -1,7 +1,7 @@
 """Membership tables are compared by the same digests as at commit 4033f28 (fixtures/digests.json).
 
-During an upgrade processes of two versions compare their tables. With different digests each would be sent
-all records at every comparison. The fixture was written by that commit's own code.
+During an upgrade processes of two versions compare their tables. With different digests they would
+send each other all records at every comparison. The fixture was written by that commit's own code.
 """
 
 from __future__ import annotations
--- a/tests/wire/test_golden_frames.py
+++ b/tests/wire/test_golden_frames.py
@@ -42,7 +42,7 @@
     "log entry": struct_at(MESSAGES["ap"], 5),
     "lease demand": struct_at(MESSAGES["sh"], 2),
 }
-# By tag or by name of a part: the fixture's name of each field that was renamed since, and today's.
+# By tag or by name of an untagged struct: old and present names of the fields renamed since the fixture.
 RENAMED_FIELDS: dict[str, dict[str, str]] = {
     "r": {
         "left_ms": "remaining_ms",
@@ -104,7 +104,7 @@
 
 
 def fields_on_the_wire(tag: str, name: str) -> list[Any]:
-    """Return the fields of a frame's message as msgpack has them, without any type of ours."""
+    """Return the fields of a frame's message as msgpack decodes them without a schema."""
     _, _, sent = msgspec.msgpack.decode(raw(tag, name)[4:])
     assert sent[0] == tag
     return list(sent[1:])
