--- a/cometdoor/control/admin_api.py
+++ b/cometdoor/control/admin_api.py
@@ -101,11 +101,11 @@
     ) -> None:
         """Answer with `describe(is_confirmed)`; confirmed: by a heartbeat round after the call arrived."""
 
-        def confirmed(is_current: bool) -> None:
+        def on_confirmed(is_current: bool) -> None:
             if connection.request is request:
                 connection.respond(200, JSON_HEADERS, json.dumps(describe(is_current)).encode())
 
-        self._replica_server.read(confirmed)
+        self._replica_server.read(on_confirmed)
 
     # --- calls that only the leader answers ---
 
@@ -149,28 +149,28 @@
             return
         try:
             document = parse(request.body)
-        except SettingsError as faults:
+        except SettingsError as error:
             log.info(
                 "configuration is invalid and rejected; the current one stays in force",
                 step="check",
-                faults=len(faults.problems),
-                first=str(faults)[:200],
+                faults=len(error.problems),
+                first=str(error)[:200],
             )
-            self._reject(connection, request, str(faults))
+            self._reject(connection, request, str(error))
             return
         change = ConfigurationChange(base, document.revision, request.body)
 
         def on_applied(result: ApplyResult | None) -> None:
             if connection.request is not request:
                 return
-            answer = build_replace_response(change, result)
-            if result is not None and answer.status == 200:
+            response = build_replace_response(change, result)
+            if result is not None and response.status == 200:
                 log.info("configuration committed and in force", revision=change.revision)
                 payload = {"revision": change.revision, "in-force": result.revision}
                 connection.respond(200, JSON_HEADERS, json.dumps(payload).encode())
             else:
-                retry_after_s = RETRY_AFTER_S if answer.status == 503 else 0.0
-                respond_error(answer.status, answer.text, connection, retry_after_s)
+                retry_after_s = RETRY_AFTER_S if response.status == 503 else 0.0
+                respond_error(response.status, response.text, connection, retry_after_s)
 
         self._replica_server.propose(change, on_applied)
 
@@ -180,7 +180,7 @@
         A replica without contact answers 503 instead, even if the call is invalid whatever the state is.
         """
 
-        def confirmed(is_current: bool) -> None:
+        def on_confirmed(is_current: bool) -> None:
             if connection.request is not request:
                 return
             if is_current:
@@ -188,10 +188,10 @@
             else:
                 respond_error(503, "no majority confirmed that this replica leads", connection, RETRY_AFTER_S)
 
-        self._replica_server.read(confirmed)
+        self._replica_server.read(on_confirmed)
 
     def _describe(self, connection: ClientConnection, request: ClientRequest) -> None:
-        def confirmed(is_current: bool) -> None:
+        def on_confirmed(is_current: bool) -> None:
             if connection.request is not request:
                 return
             if not is_current:
@@ -201,4 +201,4 @@
             else:
                 connection.respond(200, JSON_HEADERS, self._replica_server.state.body)
 
-        self._replica_server.read(confirmed)
+        self._replica_server.read(on_confirmed)
--- a/cometdoor/control/membership.py
+++ b/cometdoor/control/membership.py
@@ -159,7 +159,7 @@
                 self._wiped.add(removed.id)
             replica.followers.pop(removed.id, None)
             self._leave_announced_at.pop(removed.id, None)
-        self._joiners = {id: one for id, one in self._joiners.items() if id not in remaining_ids}
+        self._joiners = {id: joiner for id, joiner in self._joiners.items() if id not in remaining_ids}
         self._proposed_index = replica.propose(MembershipChange(next_configuration))
         self._replication.broadcast_heartbeat()
 
@@ -167,7 +167,7 @@
         now = self._replica.now
         if self._joiners:
             self._joiners = {
-                id: one for id, one in self._joiners.items() if now - one[1] < JOIN_REQUEST_TTL_S
+                id: joiner for id, joiner in self._joiners.items() if now - joiner[1] < JOIN_REQUEST_TTL_S
             }
 
     def _awaits_learner(self) -> bool:
@@ -225,7 +225,9 @@
 
     def _with_joiner(self) -> GroupConfiguration | None:
         replica = self._replica
-        joiner = next((one for one, _ in self._joiners.values() if not replica.is_member(one.id)), None)
+        joiner = next(
+            (joiner for joiner, _ in self._joiners.values() if not replica.is_member(joiner.id)), None
+        )
         if joiner is None or not self._all_support_learners():
             return None
         return self._if_committed_on_majority((*replica.members, joiner))
@@ -298,7 +300,7 @@
         A replica's id belongs to its disk: another id at the address is another disk.
         """
         ids = [other.id for other in self._members_at(member.address)]
-        ids += [one.id for one, _ in self._joiners.values() if one.address == member.address]
+        ids += [joiner.id for joiner, _ in self._joiners.values() if joiner.address == member.address]
         return ids[-1] != member.id and not self._is_in_contact(member)
 
     def _members_at(self, address: str) -> list[Member]:
--- a/cometdoor/control/pending_requests.py
+++ b/cometdoor/control/pending_requests.py
@@ -103,14 +103,14 @@
         if not self._proposals or (has_quorum and _is_leader_in_term(replica, self._oldest_term)):
             return []  # terms never decrease: if the oldest proposal is of this term, all are
         expired = {
-            index: one
-            for index, one in self._proposals.items()
-            if not (has_quorum and _is_leader_in_term(replica, one.term))
+            index: pending
+            for index, pending in self._proposals.items()
+            if not (has_quorum and _is_leader_in_term(replica, pending.term))
         }
         for index in expired:
             del self._proposals[index]
         self._oldest_term = replica.term
-        return [ProposalCompleted(one.caller, None) for one in expired.values()]
+        return [ProposalCompleted(pending.caller, None) for pending in expired.values()]
 
     def complete_reads(
         self, replica: Replica, now: float, has_quorum: bool = True
@@ -123,18 +123,18 @@
         """
         completed: list[ReadCompleted[ReadT]] = []
         remaining: list[PendingRead[ReadT]] = []
-        for one in self._reads:
-            is_still_leader = _is_leader_in_term(replica, one.term)
+        for pending in self._reads:
+            is_still_leader = _is_leader_in_term(replica, pending.term)
             if (
                 is_still_leader
                 and replica.applied >= replica.committed
-                and replica.is_read_round_confirmed(one.round)
+                and replica.is_read_round_confirmed(pending.round)
             ):
-                completed.append(ReadCompleted(one.caller, True))
-            elif not is_still_leader or not has_quorum or now >= one.deadline:
-                completed.append(ReadCompleted(one.caller, False))
+                completed.append(ReadCompleted(pending.caller, True))
+            elif not is_still_leader or not has_quorum or now >= pending.deadline:
+                completed.append(ReadCompleted(pending.caller, False))
             else:
-                remaining.append(one)
+                remaining.append(pending)
         self._reads = remaining
         return completed
 
--- a/cometdoor/control/replica.py
+++ b/cometdoor/control/replica.py
@@ -69,7 +69,7 @@
         other = Replica.__new__(Replica)
         other.__dict__.update(self.__dict__)
         other.log, other.storage, other.outbox = self.log.copy(), self.storage.copy(), self.outbox.copy()
-        other.followers = {id: one.copy() for id, one in self.followers.items()}
+        other.followers = {id: progress.copy() for id, progress in self.followers.items()}
         other.elections = self.elections.copy_for(other)
         other.chunked_transfer = self.chunked_transfer.copy_for(other)
         other.snapshots = self.snapshots.copy_for(other, other.chunked_transfer)
@@ -172,19 +172,19 @@
     def _name_successor(self) -> None:
         if self._is_successor_named or self.role is not Role.LEADER:
             return
-        progress = self.followers
+        followers = self.followers
         candidates = [
             member
             for member in self.other_voters()
-            if member.id in progress
+            if member.id in followers
             and not self.membership.is_leaving(member.id)
-            and self.now - progress[member.id].last_seen_at < FOLLOWER_CONTACT_MAX_AGE_S
+            and self.now - followers[member.id].last_seen_at < FOLLOWER_CONTACT_MAX_AGE_S
         ]
         if not candidates:
             return
-        successor = max(candidates, key=lambda member: progress[member.id].match_index)
+        successor = max(candidates, key=lambda member: followers[member.id].match_index)
         waiting_s = self.now - self._transfer_started_at
-        if progress[successor.id].match_index >= self.log.last_index or waiting_s > SUCCESSOR_WAIT_S:
+        if followers[successor.id].match_index >= self.log.last_index or waiting_s > SUCCESSOR_WAIT_S:
             self._is_successor_named = True
             self.elections.send_timeout_now(successor)
 
--- a/cometdoor/control/replica_server.py
+++ b/cometdoor/control/replica_server.py
@@ -328,8 +328,8 @@
         self._notify(completed)
 
     def _notify(self, completed: list[ProposalCompleted[OnApplied]]) -> None:
-        for one in completed:
-            one.caller(one.result)
+        for proposal in completed:
+            proposal.caller(proposal.result)
 
     # --- the disk ---
 
--- a/cometdoor/control/storage.py
+++ b/cometdoor/control/storage.py
@@ -139,6 +139,10 @@
         while self._watermarks and self._watermarks[0].record_count <= self._written_records:
             self.durable_index = self._watermarks.pop(0).last_index
         self.durable_index = min(self.durable_index, last_index)
-        released = [one.outgoing for one in self._deferred if one.record_count <= self._written_records]
-        self._deferred = [one for one in self._deferred if one.record_count > self._written_records]
+        released = [
+            deferred.outgoing for deferred in self._deferred if deferred.record_count <= self._written_records
+        ]
+        self._deferred = [
+            deferred for deferred in self._deferred if deferred.record_count > self._written_records
+        ]
         return released
--- a/cometdoor/control/write_ahead_log.py
+++ b/cometdoor/control/write_ahead_log.py
@@ -199,8 +199,8 @@
 
 def remove_file(path: Path) -> None:
     """Remove a file with `dbm.dumb`'s index beside it."""
-    for one in (path, path.with_suffix(".dir"), path.with_suffix(".bak")):
-        one.unlink(missing_ok=True)
+    for file_path in (path, path.with_suffix(".dir"), path.with_suffix(".bak")):
+        file_path.unlink(missing_ok=True)
 
 
 class WriteAheadLog:
--- a/tests/control/test_golden_data_directory.py
+++ b/tests/control/test_golden_data_directory.py
@@ -55,15 +55,15 @@
     return EXPECTED["directories"][name]
 
 
-def values_of(path: Path) -> list[Any]:
+def batches_of(path: Path) -> list[Any]:
     return list(scan_batches(path.read_bytes()))
 
 
 def state_show(folder: Path) -> dict[str, Any]:
-    done = CliRunner().invoke(app, ["state", "show", str(folder), "--json"])
-    assert done.exit_code == 0, done.output
-    facts: dict[str, Any] = json.loads(done.stdout)
-    return facts | {"file": Path(facts["file"]).name}
+    result = CliRunner().invoke(app, ["state", "show", str(folder), "--json"])
+    assert result.exit_code == 0, result.output
+    report: dict[str, Any] = json.loads(result.stdout)
+    return report | {"file": Path(report["file"]).name}
 
 
 # --- what is read ---
@@ -85,9 +85,9 @@
 
 @DIRECTORIES
 def test_committed_entries_yield_the_same_state(name: str) -> None:
-    holding = read_data_directory(STORED / name)
+    contents = read_data_directory(STORED / name)
     recorded = expected(name)["state_of_committed"]
-    state = holding.state
+    state = contents.state
     assert state.snapshot().hex() == recorded["image"]
     assert (state.revision, state.body.hex()) == (recorded["revision"], recorded["body"])
     assert (state.now_ms, state.claims_suspended_until_ms) == (
@@ -128,24 +128,24 @@
 def test_batches_have_the_same_offsets_and_are_encoded_to_the_same_bytes(name: str) -> None:
     for path in (STORED / name).glob("*.dat"):
         data = path.read_bytes()
-        found = values_of(path)
-        assert [[value.number, value.last_synced, len(value.records), value.offset] for value in found] == (
+        batches = batches_of(path)
+        assert [[batch.number, batch.last_synced, len(batch.records), batch.offset] for batch in batches] == (
             expected(name)["values"][path.name]
         )
-        for value in found:
-            packed = encode_batch(value.number, value.last_synced, value.records)
-            assert data[value.offset : value.offset + len(packed)] == packed
+        for batch in batches:
+            encoded = encode_batch(batch.number, batch.last_synced, batch.records)
+            assert data[batch.offset : batch.offset + len(encoded)] == encoded
 
 
 @DIRECTORIES
 def test_the_same_records_are_written_to_the_same_file(name: str, tmp_path: Path) -> None:
     for path in (STORED / name).glob("*.dat"):
-        first, *others = values_of(path)
+        first, *others = batches_of(path)
         log_file = WriteAheadLog(tmp_path / path.stem)
         log_file.open()
         log_file.rotate(first.records)
-        for value in others:
-            log_file.append(value.records)
+        for batch in others:
+            log_file.append(batch.records)
         log_file.close()
         ((_, written),) = list_log_files(tmp_path / path.stem)
         assert written.read_bytes() == path.read_bytes()
@@ -155,7 +155,7 @@
     records, changes = set(), set()
     for name in EXPECTED["directories"]:
         for path in (STORED / name).glob("*.dat"):
-            stored = [to_plain(record) for value in values_of(path) for record in value.records]
+            stored = [to_plain(record) for batch in batches_of(path) for record in batch.records]
             records |= {record[0] for record in stored}
             changes |= {change[0] for record in stored if record[0] == "s" for _, _, change in record[1]}
     assert records == set("ipsnk") and changes == {"e0", "e1", "e2", "e3", "e4"}
@@ -192,10 +192,10 @@
     """Return the address of the leader that a majority confirms; None if there is none."""
     for address in mesh.programs:
         try:
-            core = get_json(mesh, address, "/Core.Describe")
+            description = get_json(mesh, address, "/Core.Describe")
         except (OSError, TimeoutError):
             continue
-        if core["role"] == "leader" and core["contact"]["confirmed"]:
+        if description["role"] == "leader" and description["contact"]["confirmed"]:
             return address
     return None
 
@@ -226,8 +226,8 @@
     last = get_json(mesh, leader_within(mesh, 1.0), "/Core.Describe")["last"]
     for revision in (base + 1, base + 2):
         assert mesh.run(mesh.configure(revision, revision - 1)) == 200
-    core = get_json(mesh, leader_within(mesh, 1.0), "/Core.Describe")
-    assert core["revision"] == base + 2 and core["last"] >= last + 2
+    description = get_json(mesh, leader_within(mesh, 1.0), "/Core.Describe")
+    assert description["revision"] == base + 2 and description["last"] >= last + 2
     # The last change acknowledged before is deduplicated, not accepted twice.
     assert mesh.run(mesh.configure(REVISIONS[-1], REVISIONS[-2])) == 200
     assert get_json(mesh, leader_within(mesh, 1.0), "/Core.Describe")["revision"] == base + 2
@@ -281,16 +281,18 @@
         check_all_replicas_agree(mesh)
 
 
-@pytest.mark.parametrize("new", [2, 3])
-def test_two_of_three_voters_start_on_their_directories_and_a_new_member_replaces_the_third(new: int) -> None:
-    kept = {number: f"member-{number}" for number in (1, 2, 3) if number != new}
-    with control_planes(kept) as mesh:
-        launch(mesh, list(kept))
+@pytest.mark.parametrize("new_number", [2, 3])
+def test_two_of_three_voters_start_on_their_directories_and_a_new_member_replaces_the_third(
+    new_number: int,
+) -> None:
+    directories = {number: f"member-{number}" for number in (1, 2, 3) if number != new_number}
+    with control_planes(directories) as mesh:
+        launch(mesh, list(directories))
         leader_within(mesh, 4.0)
         check_nothing_is_lost(mesh)
-        launch(mesh, [new])
+        launch(mesh, [new_number])
         mesh.wait(6.0)
-        ids = {expected(name)["id"] for name in kept.values()}
+        ids = {expected(name)["id"] for name in directories.values()}
         assert ids < voters(mesh) and len(voters(mesh)) == 3
         check_accepts_changes(mesh)
         check_all_replicas_agree(mesh)
@@ -322,8 +324,8 @@
     with control_planes({1: "rebuilt"}, 1) as mesh:
         launch(mesh, [1])
         leader_within(mesh, 3.0)
-        core = get_json(mesh, mesh.core[0], "/Core.Describe")
-        assert core["keys-closed"] is True
+        description = get_json(mesh, mesh.core[0], "/Core.Describe")
+        assert description["keys-closed"] is True
         mesh.wait(67.5)
         assert get_json(mesh, mesh.core[0], "/Core.Describe")["keys-closed"] is False
 
@@ -337,11 +339,16 @@
         launch(mesh, [1, 2, 3])
         leader = leader_within(mesh, 3.0)
         mesh.wait(0.5)
-        core = get_json(mesh, leader, "/Core.Describe")
-        assert sorted(core) == recorded["core"] and sorted(core["members"][0]) == recorded["member"]
-        assert sorted(core["contact"]) == recorded["contact"]["keys"]
-        follower = get_json(mesh, next(one for one in mesh.core if one != leader), "/Core.Describe")
-        assert [core["contact"]["standing"], core["role"]] == [
+        description = get_json(mesh, leader, "/Core.Describe")
+        assert (
+            sorted(description) == recorded["core"]
+            and sorted(description["members"][0]) == recorded["member"]
+        )
+        assert sorted(description["contact"]) == recorded["contact"]["keys"]
+        follower = get_json(
+            mesh, next(address for address in mesh.core if address != leader), "/Core.Describe"
+        )
+        assert [description["contact"]["standing"], description["role"]] == [
             *(recorded["contact"]["standing of a leader"], recorded["contact"]["role of a leader"]),
         ]
         assert [follower["contact"]["standing"], follower["role"]] == [
@@ -358,8 +365,8 @@
     with control_planes({1: "member-1"}) as mesh:
         launch(mesh, [1])
         mesh.wait(3.0)
-        core = get_json(mesh, mesh.core[0], "/Core.Describe")
-        assert {key: core[key] for key in ("contact", "role", "leader")} == {
+        description = get_json(mesh, mesh.core[0], "/Core.Describe")
+        assert {key: description[key] for key in ("contact", "role", "leader")} == {
             key: recorded[key] for key in ("contact", "role", "leader")
         }
         for call, answer in recorded["answers"].items():
--- a/tests/control/test_golden_records.py
+++ b/tests/control/test_golden_records.py
@@ -40,16 +40,16 @@
             number += 1
             raw = bytes.fromhex(step["value"])
             assert encode_batch(number, number - 1, [record]) == raw
-            (value,) = scan_batches(raw)
-            assert (value.number, value.last_synced, value.records) == (number, number - 1, [record])
+            (decoded,) = scan_batches(raw)
+            assert (decoded.number, decoded.last_synced, decoded.records) == (number, number - 1, [record])
 
 
 def test_records_that_are_written_together_are_one_batch() -> None:
     batch = FIXTURE["batch"]
     raw = bytes.fromhex(batch["value"])
     assert encode_batch(batch["number"], batch["synced"], records("a life")) == raw
-    (value,) = scan_batches(raw)
-    assert value.records == records("a life")
+    (decoded,) = scan_batches(raw)
+    assert decoded.records == records("a life")
     # With one flipped bit it is not a valid record.
-    for place in range(len(raw)):
-        assert not list(scan_batches(raw[:place] + bytes([raw[place] ^ 1]) + raw[place + 1 :]))
+    for offset in range(len(raw)):
+        assert not list(scan_batches(raw[:offset] + bytes([raw[offset] ^ 1]) + raw[offset + 1 :]))
--- a/tests/control/test_golden_state_machine.py
+++ b/tests/control/test_golden_state_machine.py
@@ -38,7 +38,7 @@
 }
 
 
-def a_state_machine(snapshot: str | None) -> StateMachine:
+def new_state_machine(snapshot: str | None) -> StateMachine:
     machine = StateMachine(FIXTURE["window_s"])
     if snapshot is not None:
         machine.load(bytes.fromhex(snapshot))
@@ -48,15 +48,15 @@
 def check_steps(machine: StateMachine, steps: list[dict[str, Any]]) -> None:
     for step in steps:
         change = msgspec.convert(from_plain(step["change"]), type=Change)
-        verdict = machine.apply(change)
-        assert list(dataclasses.astuple(verdict)) == step["verdict"], step["change"]
+        result = machine.apply(change)
+        assert list(dataclasses.astuple(result)) == step["verdict"], step["change"]
         assert machine.snapshot().hex() == step["image"], step["change"]
 
 
 @pytest.mark.parametrize("name", FIXTURE["scripts"])
 def test_changes_yield_the_same_state_and_results(name: str) -> None:
     script = FIXTURE["scripts"][name]
-    check_steps(a_state_machine(script["start"]), script["steps"])
+    check_steps(new_state_machine(script["start"]), script["steps"])
 
 
 IMAGES = sorted(
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("snapshot", IMAGES, ids=lambda snapshot: f"{len(snapshot) // 2} bytes")
 def test_a_snapshot_is_decoded_and_encoded_to_the_same_bytes(snapshot: str) -> None:
-    machine = a_state_machine(snapshot)
+    machine = new_state_machine(snapshot)
     assert machine.snapshot().hex() == snapshot
     assert machine.copy().snapshot().hex() == snapshot
     raw = bytes.fromhex(snapshot)
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize("count", FIXTURE["earlier"])
 def test_a_snapshot_of_an_earlier_version_with_fewer_fields_is_read(count: str) -> None:
     recorded = FIXTURE["earlier"][count]
-    machine = a_state_machine(recorded["image"])
+    machine = new_state_machine(recorded["image"])
     assert machine.snapshot().hex() == recorded["again"]
     check_steps(machine, recorded["steps"])
 
