--- a/cometdoor/control/accepted_configurations.py
+++ b/cometdoor/control/accepted_configurations.py
@@ -25,7 +25,7 @@
 
 
 class Acceptance(Enum):
-    """Whether a configuration was accepted before."""
+    """Result of a lookup: whether a configuration was accepted before."""
 
     ACCEPTED = "accepted"
     NOT_ACCEPTED = "not accepted"
@@ -33,7 +33,7 @@
 
 
 class BodyFingerprint(msgspec.Struct, array_like=True, frozen=True):
-    """Identifies a body; `checksum` is for builds without digests, `digest` is empty if it came from one."""
+    """Identifies a body; `checksum` is for builds without digests; a fingerprint from one has no `digest`."""
 
     checksum: int
     digest: bytes = b""
@@ -123,8 +123,8 @@
     def load(self, snapshot: AcceptedConfigurationsSnapshot, revision: int, body: bytes) -> None:
         """Restore the table from a snapshot.
 
-        `revision` and `body` are in force: that configuration gets its digest even if the snapshot's build
-        knew none.
+        `revision` and `body` are in force: that configuration gets its digest even if the snapshot was
+        written by a build without digests.
         """
         digests = dict(snapshot.digests)
         self._fingerprints = {
--- a/cometdoor/control/admin_api.py
+++ b/cometdoor/control/admin_api.py
@@ -34,7 +34,7 @@
 CONFIGURATION_MAX_BYTES = 8 << 20  # thousands of routes take less than 1 MiB
 LEADER_WAIT_MAX_S = 0.6  # how long a call waits for an election; callers have a timeout of about a second
 LEADER_POLL_INTERVAL_S = 0.03
-RETRY_AFTER_S = 0.2  # sent with each answer 503
+RETRY_AFTER_S = 0.2  # sent with each 503 response
 log = structlog.get_logger()
 
 RequestHandler = Callable[[ClientConnection, ClientRequest], None]
@@ -71,7 +71,7 @@
         self._replica_server = replica_server
 
     def accept(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Handle a call."""
+        """Handle a call, according to its method and path."""
         match (request.method, path_segments(request)):
             case (b"POST", ("Configuration.Replace",)):
                 self._handle_as_leader(connection, request, self._replace)
--- a/cometdoor/control/chunked_transfer.py
+++ b/cometdoor/control/chunked_transfer.py
@@ -1,9 +1,9 @@
-"""Transfer of a leader's large messages in chunks: snapshots, and appends that hold a large configuration.
+"""Transfer of a leader's large messages in chunks: snapshots, and appends with a large configuration.
 
-A chunk is small enough that heartbeats after it on the same connection are not delayed for long, also on a
+A chunk is small enough that heartbeats after it on the same connection are not delayed for long, even on a
 slow link. Chunks are acknowledged; a congestion window controlled by delay limits those in flight. What a
-follower has lost (a reset connection, a restart) is sent again from the offset that it reports. A message is
-handled only when it is complete and its digest is correct. No I/O.
+follower has lost by a reset connection or a restart is sent again from the offset that it reports. A message
+is handled only when it is complete and its digest is correct. No I/O.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def is_large(size: int) -> bool:
-    """Whether a message of that many bytes is sent in chunks."""
+    """Return whether a message of that many bytes is sent in chunks."""
     return size > INITIAL_WINDOW_CHUNKS * CHUNK_BYTES
 
 
@@ -60,7 +60,7 @@
     last_activity_at: float  # when a chunk was sent or an answer came last
     received_bytes: int = 0  # by the follower, as it reported
     sent_bytes: int = 0
-    is_in_doubt: bool = False  # acknowledgements are missing: the follower may have lost what it had
+    is_in_doubt: bool = False  # acknowledgements are missing: the follower may have lost its data
     is_resent: bool = False  # chunks were sent again since the last acknowledged progress
     chunk_sent_at: dict[int, float] = field(default_factory=dict)  # by end offset of each chunk in flight
 
@@ -72,7 +72,7 @@
 
 @dataclass
 class IncomingTransfer:
-    """What a follower has received of a payload."""
+    """The part of a payload that a follower has received."""
 
     digest: bytes
     size: int
@@ -135,11 +135,11 @@
         return self._accepts_chunks.get(follower)
 
     def is_sending_to(self, follower: str) -> bool:
-        """Whether a transfer to that follower is under way."""
+        """Return whether a transfer to that follower is under way."""
         return follower in self._outgoing
 
     def is_sending_snapshot(self) -> bool:
-        """Whether a snapshot is being sent to anyone."""
+        """Return whether a snapshot is being sent to any follower."""
         return any(one.payload.is_snapshot for one in self._outgoing.values())
 
     def start_transfer(self, member: Member, payload: TransferPayload) -> None:
@@ -214,14 +214,15 @@
         if transfer is None:
             return
         is_complete = success and index >= transfer.payload.last_index
-        # A heartbeat fails while a snapshot is being sent; a failed append has to start at another entry.
+        # While a snapshot is being sent, replies to heartbeats report failure. A failed append has to start
+        # at another entry.
         if is_complete or (not success and not transfer.payload.is_snapshot):
             del self._outgoing[follower]
 
     # --- followers ---
 
     def on_transfer_chunk(self, chunk: TransferChunk) -> None:
-        """Handle a chunk from the leader, and the message once all of it has arrived."""
+        """Handle a chunk from the leader, and the message once it is complete."""
         replica = self._replica
         if chunk.term < replica.term:
             replica.send_append_reply(chunk.address, False, 0, 0)
@@ -277,7 +278,7 @@
         replica.receive(message, replica.now)
 
     def _has_completed(self, digest: bytes) -> bool:
-        """Whether that payload was received completely, and the log still contains its last entry."""
+        """Return whether that payload was received completely, and the log still contains its last entry."""
         completed, replica = self._last_completed, self._replica
         if completed is None or completed.digest != digest:
             return False
--- a/cometdoor/control/congestion_window.py
+++ b/cometdoor/control/congestion_window.py
@@ -1,17 +1,17 @@
-"""How many chunks of a transfer may be in flight to one follower. No I/O, no clock."""
+"""Congestion window of a chunked transfer to one follower. No I/O, no clock."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 INITIAL_WINDOW_CHUNKS = 2  # of 32 KiB each; on a link of 3.5 Mbit/s they delay a heartbeat by 0.15 s
-MAX_WINDOW_CHUNKS = 64  # 2 MiB: 100 ms of a link of 160 Mbit/s
-MAX_QUEUEING_DELAY_S = 0.05  # beyond the shortest round trip; with more the window shrinks
+MAX_WINDOW_CHUNKS = 64  # 2 MiB: what a link of 160 Mbit/s carries in 100 ms
+MAX_QUEUEING_DELAY_S = 0.05  # above the shortest round trip; the window shrinks if it is exceeded
 
 
 @dataclass
 class CongestionWindow:
-    """How many chunks may be in flight to one follower: controlled by round-trip delay.
+    """Limits the number of chunks in flight to one follower according to the round-trip time.
 
     It works like TCP's congestion window, but reacts to delay before chunks are lost. It doubles in a round
     trip up to `slow_start_threshold`, grows by one from there, and is halved once a round trip exceeds the
@@ -24,7 +24,7 @@
     last_decrease_at: float = -1e9
 
     def on_acknowledged(self, round_trip_s: float, now: float) -> None:
-        """Grow or shrink by the round trip of an acknowledged chunk."""
+        """Grow or shrink the window according to the round trip of an acknowledged chunk."""
         self.min_round_trip_s = min(self.min_round_trip_s, round_trip_s)
         if round_trip_s <= self.min_round_trip_s + MAX_QUEUEING_DELAY_S:
             growth = 1.0 if self.size_chunks < self.slow_start_threshold else 1.0 / self.size_chunks
@@ -34,6 +34,6 @@
             self.size_chunks = self.slow_start_threshold = max(self.size_chunks / 2, 1.0)
 
     def on_loss(self) -> None:
-        """Shrink to one chunk."""
+        """Shrink the window to one chunk."""
         self.slow_start_threshold = max(self.size_chunks / 2, 1.0)
         self.size_chunks = 1.0
--- a/cometdoor/control/disk_writer.py
+++ b/cometdoor/control/disk_writer.py
@@ -1,7 +1,7 @@
-"""Writes a replica's log on a separate thread, and repeats failed writes until they succeed.
+"""Writes a replica's log on a separate thread, and retries failed writes until they succeed.
 
-Batches are written one at a time, as `WriteAheadLog` demands. The caller decides what is written and when the
-log is compacted.
+Batches are written one at a time, as `WriteAheadLog` requires. The caller decides what is written and when
+the log is compacted.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from cometdoor.control.durable_state import Record
 from cometdoor.control.write_ahead_log import DiskError, WriteAheadLog
 
-WRITE_RETRY_DELAY_S = 0.2  # after a failed write
+WRITE_RETRY_DELAY_S = 0.2  # between a failed write and its retry
 log = structlog.get_logger()
 
 
@@ -65,7 +65,7 @@
             return
         error = done.exception()
         if isinstance(error, DiskError):
-            # A full or failing disk must not end the process: the same write is repeated without limit.
+            # A full or failing disk must not end the process: the same write is retried without limit.
             log.warning(
                 "write to the disk failed; it is repeated until it succeeds",
                 step=error.step,
--- a/cometdoor/control/durable_state.py
+++ b/cometdoor/control/durable_state.py
@@ -1,7 +1,7 @@
 """Records in a replica's write-ahead log, and the state that results from reading them in order.
 
-The one-letter tags are the format on disk and never change. A record of an unknown tag makes the batch that
-holds it unreadable (see `write_ahead_log`).
+The one-letter tags belong to the format on disk and never change. A record with an unknown tag makes its
+batch unreadable (see `write_ahead_log`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Identity(msgspec.Struct, tag="i", array_like=True, frozen=True):
-    """The replica's id. It belongs to the disk: a replica on an empty disk draws a new one."""
+    """The replica's id. It belongs to the disk: a replica on an empty disk generates a new one."""
 
     id: str
 
@@ -59,7 +59,7 @@
 
 @dataclass
 class DurableState:
-    """Everything a replica's disk holds, read from its records in order."""
+    """The state on a replica's disk, recovered by applying its records in order."""
 
     id: str = ""
     term: int = 0
--- a/cometdoor/control/elections.py
+++ b/cometdoor/control/elections.py
@@ -1,7 +1,7 @@
-"""Terms and votes: who may lead (Raft, 5.2 and 5.4.1; Ongaro's dissertation, 9.6 for prevote).
+"""Leader election with prevote (Raft, 5.2 and 5.4.1; Ongaro's dissertation, 9.6).
 
-A replica whose election timeout has passed first asks whether it would be elected (prevote). Otherwise a
-replica that was partitioned would depose a working leader when it returns.
+A replica whose election timeout has passed first asks whether it would be elected (prevote). Without
+the prevote, a replica that was partitioned would depose a working leader when it returns.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from cometdoor.wire.consensus import RequestVote, RequestVoteReply, TimeoutNow
 from cometdoor.wire.log_entries import Member
 
-# Four to eight heartbeat intervals without a leader start an election. Requests with idempotency keys wait
-# until there is a leader again.
+# An election starts after four to eight heartbeat intervals without a leader. Requests with idempotency keys
+# wait until there is a leader again.
 ELECTION_TIMEOUT_MIN_S, ELECTION_TIMEOUT_MAX_S = 0.4, 0.8
 # Used until this incarnation has heard a leader. After a power loss of the whole group there is no leader
 # and all changes wait, so the timeout is short. If there is a leader, the prevote is denied without effect.
@@ -24,7 +24,7 @@
 
 
 class Elections:
-    """Elections as one replica sees them: its election timeout, its candidacy, and its votes for others.
+    """The part of one replica in elections: its election timeout, its candidacy and its votes for others.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
     def __init__(self, replica: ReplicaContext, now: float) -> None:
         self._replica = replica
         self.leader_last_seen_at = -1e9  # negative: no leader was heard in this incarnation
-        self._leaderless_since = now  # when a leader was last heard, or the start
+        self._leaderless_since = now  # when a leader was last heard, or this incarnation started
         self._election_deadline = now + replica.rng.uniform(
             FIRST_ELECTION_TIMEOUT_MIN_S, FIRST_ELECTION_TIMEOUT_MAX_S
         )
@@ -107,7 +107,7 @@
         self.count_votes()
 
     def count_votes(self) -> None:
-        """If a majority has granted its votes: start the election after a prevote, lead after an election."""
+        """If a majority has granted its votes, start the election after a prevote, or become the leader."""
         replica = self._replica
         if sum(replica.is_voter(id) for id in self._votes) < replica.majority():
             return
@@ -158,7 +158,7 @@
     # --- voters ---
 
     # A replica answers even if it is a learner by its own log: the candidate requests and counts votes by
-    # its own configuration, which may hold a promotion that has not arrived here yet.
+    # its own configuration, which may contain a promotion that has not arrived here yet.
 
     def on_request_vote(self, request: RequestVote) -> None:
         """Answer a candidate's request."""
@@ -204,13 +204,13 @@
         return replica.role is Role.LEADER or replica.now - self.leader_last_seen_at < ELECTION_TIMEOUT_MIN_S
 
     def _is_log_up_to_date(self, request: RequestVote) -> bool:
-        """Whether the candidate's log has everything that this one has (Raft, 5.4.1)."""
+        """Return whether the candidate's log has everything that this one has (Raft, 5.4.1)."""
         log = self._replica.log
         return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
 
     # --- leaders ---
 
     def send_timeout_now(self, successor: Member) -> None:
-        """Tell the successor to start an election at once (dissertation, 3.10)."""
+        """Ask the successor to start an election at once (dissertation, 3.10)."""
         replica = self._replica
         replica.send(successor.address, TimeoutNow(replica.term, replica.me.id))
--- a/cometdoor/control/leader_contact.py
+++ b/cometdoor/control/leader_contact.py
@@ -1,9 +1,9 @@
-"""Whether a replica may answer for the group, evaluated before each answer (check quorum). No I/O, no clock.
+"""Decides before each answer whether a replica may answer for the group (check quorum). No I/O, no clock.
 
-Every answer that depends on the state requires contact with a majority in the present term. A leader has it
-while a majority has answered a recent heartbeat, a follower while it hears from the leader. Ages are taken
-on this machine's steady clock, from when a heartbeat was sent (leader) or arrived (follower). Clocks of two
-machines are never compared, and the time of day is not used.
+Every answer that depends on the state requires contact with a majority in the current term. A leader has it
+while a majority has answered a recent heartbeat, a follower while it hears from the leader. Ages are
+measured on this machine's steady clock, from when a heartbeat was sent (leader) or arrived (follower).
+Clocks of two machines are never compared, and the time of day is not used.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from cometdoor.wire.log_entries import Member
 
 # A leader accepts no change or read once its newest confirmed round is older: by then others may have
-# started an election. It must stay below the second that the quarantine of retry budgets allows a deposed
-# leader (`budget.lease.quarantine_s`).
+# started an election. The age must stay below the second that the quarantine of retry budgets allows for a
+# deposed leader (`budget.lease.quarantine_s`).
 QUORUM_CONTACT_MAX_AGE_S = ELECTION_TIMEOUT_MAX_S
 # Callers are redirected only to a leader that was heard within this time; otherwise they wait a moment.
 LEADER_CONTACT_MAX_AGE_S = 2 * HEARTBEAT_INTERVAL_S
 # A process whose timer is later than this was paused: messages that it reads then may be as old as the pause.
 PAUSE_DETECTION_S = 0.15
-# Without contact for longer, waiting for an election is pointless: 99 of 100 are over by then.
+# After this time without contact, calls do not wait for an election: 99 of 100 elections are over by then.
 ELECTION_P99_S = 1.5
 
 
 class LeaderContact(Enum):
-    """Kinds of contact; the values appear in `Core.Describe`."""
+    """Contact of a replica with its group; the values appear in `Core.Describe`."""
 
     LEADING = "leads"  # may accept proposals and begin reads
     FOLLOWING = "follows"  # has just heard from a leader
@@ -62,7 +62,7 @@
         self._replica = replica
         self._started_at = now
         self._last_tick_at = now  # when the server's timer fired last
-        self._running_since = now  # the process was not paused since
+        self._running_since = now  # the process has not been paused since then
 
     def tick(self, now: float) -> None:
         """Record that the timer fired; a late timer shows that the process was paused."""
@@ -71,7 +71,7 @@
         self._last_tick_at = now
 
     def _has_recent_heartbeat(self, now: float) -> bool:
-        """Whether a leader was heard recently, and the process was running all the time since.
+        """Return whether a leader was heard recently, and the process was running all the time since.
 
         After a pause the first heartbeats read may have waited in a socket for as long as the pause was.
         """
@@ -92,7 +92,7 @@
         return max(replica.elections.leader_last_seen_at, replica.replication.read_rounds.confirmed_at)
 
     def has_quorum_contact(self, now: float) -> bool:
-        """Whether a leader's newest confirmed round is recent enough to begin or await anything."""
+        """Return whether a leader's newest confirmed round is recent enough to begin or await anything."""
         return now - self._replica.replication.read_rounds.confirmed_at < QUORUM_CONTACT_MAX_AGE_S
 
     def contact_status(self, now: float, is_leader_connection_broken: bool = False) -> ContactStatus:
--- a/cometdoor/control/leader_duties.py
+++ b/cometdoor/control/leader_duties.py
@@ -10,7 +10,7 @@
 
 
 class LeaderDuties:
-    """Schedules clock advances, and checks whether the group has as many voters as it should."""
+    """Schedules clock advances, and checks whether the group has its target number of voters."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
@@ -34,7 +34,7 @@
         return None
 
     def are_voters_missing(self, now: float) -> bool:
-        """Whether to report now that the group survives fewer losses than `fault-tolerance` demands.
+        """Return whether to report now that the group survives fewer losses than `fault-tolerance` requires.
 
         True at most once every `MEMBERSHIP_SETTLE_S`, and not at the first check of a replica's incarnation,
         when its group may still be forming.
--- a/cometdoor/control/log.py
+++ b/cometdoor/control/log.py
@@ -25,7 +25,7 @@
 
 
 def is_membership_change(entry: LogEntry) -> bool:
-    """Whether the entry changes the members of the group."""
+    """Return whether the entry changes the members of the group."""
     return isinstance(entry.change, MembershipChange)
 
 
@@ -111,7 +111,7 @@
     def replace_from(self, entries: list[LogEntry]) -> None:
         """Replace all entries from the first new one's index on.
 
-        If the new entries only extend the log, as nearly always, the cost does not depend on its length.
+        If the new entries only extend the log, as is usual, the cost does not depend on its length.
         """
         is_truncated = entries[0].index <= self.last_index
         if is_truncated:
@@ -153,7 +153,7 @@
         self._drop_oldest(len(compacted) - _count_within(compacted, retain_bytes))
 
     def entries_after_snapshot(self) -> list[LogEntry]:
-        """Return the entries that a disk must hold beside the snapshot."""
+        """Return the entries that must be on disk in addition to the snapshot."""
         return self.entries_after(self.snapshot_index)
 
     def _drop_oldest(self, count: int) -> None:
--- a/cometdoor/control/member_description.py
+++ b/cometdoor/control/member_description.py
@@ -125,7 +125,7 @@
 
 
 def round_seconds(seconds: float | None) -> float | None:
-    """Round to milliseconds."""
+    """Round a time in seconds to milliseconds; None stays None."""
     return None if seconds is None else round(seconds, 3)
 
 
--- a/cometdoor/control/membership.py
+++ b/cometdoor/control/membership.py
@@ -1,4 +1,4 @@
-"""Members of the group: one change at a time, each committed before the next.
+"""Membership changes of the group: one at a time, each committed before the next.
 
 Ongaro's dissertation, 4.1, with the correction that a leader first commits an entry of its own term.
 
@@ -69,19 +69,19 @@
         self.is_reconfiguring = True
 
     def is_leaving(self, id: str) -> bool:
-        """Whether that member announced recently that it leaves."""
+        """Return whether that member announced recently that it leaves."""
         announced_at = self._leave_announced_at.get(id)
         return announced_at is not None and self._replica.now - announced_at < LEAVE_REQUEST_TTL_S
 
     def has_change_in_flight(self) -> bool:
-        """Whether a change that this leader proposed is not committed.
+        """Return whether a change that this leader proposed is not committed.
 
         Changes of earlier leaders are committed once this one `is_leading`.
         """
         return self._proposed_index > self._replica.committed
 
     def may_accept_first_change(self) -> bool:
-        """Whether there are enough voters to acknowledge the first change after the bootstrap.
+        """Return whether there are enough voters to acknowledge the first change after the bootstrap.
 
         If no member was added for `MEMBERSHIP_SETTLE_S`, fewer suffice, as long as every entry is on one disk
         more than may be lost.
@@ -98,10 +98,10 @@
     def on_join_request(self, request: JoinRequest) -> None:
         """Record a replica that asks to join, and add it as a learner if that is possible now."""
         replica, member = self._replica, request.member
-        # A build without learners would take all members for voters.
+        # A build without learners would treat all members as voters.
         if replica.role is not Role.LEADER or not request.supports_learners or replica.is_member(member.id):
             return
-        # A late request of an earlier incarnation may arrive when its address has another disk already.
+        # A delayed request of an earlier incarnation may arrive when its address already has another disk.
         if member.id in self._wiped or any(map(self._is_in_contact, self._members_at(member.address))):
             return
         self._joiners[member.id] = replace(member, voter=False), replica.now
@@ -117,10 +117,10 @@
         elif replica.is_member(id):
             self._leave_announced_at[id] = replica.now
 
-    # --- the leader's next step ---
+    # --- the leader's next change ---
 
     def on_follower_reply(self) -> None:
-        """Take the next step if the answer may have made it possible."""
+        """Propose the next change if a follower's reply may have made it possible."""
         if self.is_reconfiguring:
             self.tick()
 
@@ -176,7 +176,7 @@
             replica.voters
         )
 
-    # --- single steps: the configuration after it, or None ---
+    # --- steps: each returns the configuration after it, or None if it does not apply ---
 
     def _without_wiped_voter(self) -> GroupConfiguration | None:
         """Remove a voter whose disk is gone: it never returns, so nothing is lost if enough disks remain."""
@@ -209,7 +209,7 @@
             longest_unseen = min(lost, key=lambda voter: self._progress(voter).last_seen_at)
             return self._if_committed_on_majority(self._with_vote(longest_unseen, False))
         if not all(map(self._is_in_contact, replica.voters)):
-            return None  # the voter out of contact may be lost; then that one is demoted
+            return None  # a voter out of contact may soon count as lost; then it is demoted
         voters_per_zone = Counter(voter.zone for voter in replica.voters)
         others = [voter for voter in replica.voters if voter.id != replica.me.id]
         return self._if_committed_on_majority(
@@ -270,7 +270,7 @@
         up_to_date_count = sum(self._has_all_committed(voter) for voter in voters)
         return next_configuration if up_to_date_count > len(voters) // 2 else None
 
-    # --- members as the leader sees them ---
+    # --- members in the leader's view ---
 
     def _learners(self) -> list[Member]:
         return [member for member in self._replica.members if not member.voter]
@@ -295,7 +295,7 @@
         )
 
     def _is_wiped(self, member: Member) -> bool:
-        """Whether a newer member or joiner has the same address, so that this member's disk is gone for good.
+        """Return whether this member's disk is gone for good: its address has a newer member or joiner.
 
         A replica's id belongs to its disk: another id at the address is another disk.
         """
@@ -313,5 +313,5 @@
         return is_silent or self.is_leaving(voter.id) or self._is_wiped(voter)
 
     def _all_support_learners(self) -> bool:
-        """Whether all followers run a build that knows learners; others would treat them as voters."""
+        """Return whether all followers run a build with learners; others would treat learners as voters."""
         return all(progress.supports_learners for progress in self._replica.followers.values())
--- a/cometdoor/control/membership_requester.py
+++ b/cometdoor/control/membership_requester.py
@@ -1,4 +1,4 @@
-"""When a replica sends a join or leave request, and to which addresses. No I/O, no clock."""
+"""Decides when a replica sends a join or leave request, and to which addresses. No I/O, no clock."""
 
 from __future__ import annotations
 
--- a/cometdoor/control/pending_requests.py
+++ b/cometdoor/control/pending_requests.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposalCompleted(Generic[ProposalT]):
-    """The result of a proposal; None if its outcome is unknown to this replica."""
+    """A proposal that no longer waits, and its result."""
 
     caller: ProposalT
     result: ApplyResult | None  # None: the outcome is unknown to this replica
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadCompleted(Generic[ReadT]):
-    """A read that is over; `is_current` says whether the state may be returned."""
+    """A read that no longer waits; `is_current` tells whether the state may be returned."""
 
     caller: ReadT
     is_current: bool  # the state holds all that was acknowledged before the read
@@ -80,7 +80,7 @@
         self._reads.append(PendingRead(replica.term, replica.start_read_round(), deadline, caller))
 
     def apply_committed(self, replica: Replica, state: StateMachine) -> list[ProposalCompleted[ProposalT]]:
-        """Apply all committed entries to `state` and return the proposals among them."""
+        """Apply all committed entries to `state` and return the results of pending proposals among them."""
         completed: list[ProposalCompleted[ProposalT]] = []
         while replica.applied < replica.committed:
             replica.applied += 1
@@ -98,7 +98,7 @@
     ) -> list[ProposalCompleted[ProposalT]]:
         """Remove and return the proposals of terms that this replica no longer leads.
 
-        Without `has_quorum` (recent contact with a majority) all of them.
+        Without `has_quorum` (recent contact with a majority), all proposals are removed and returned.
         """
         if not self._proposals or (has_quorum and _is_leader_in_term(replica, self._oldest_term)):
             return []  # terms never decrease: if the oldest proposal is of this term, all are
@@ -115,7 +115,7 @@
     def complete_reads(
         self, replica: Replica, now: float, has_quorum: bool = True
     ) -> list[ReadCompleted[ReadT]]:
-        """Remove and return the reads that are over.
+        """Remove and return the reads that no longer wait.
 
         A read ends when its round is confirmed and everything committed is applied, at its deadline, when
         the replica no longer leads in its term, or when `has_quorum` (recent contact with a majority) is
--- a/cometdoor/control/process.py
+++ b/cometdoor/control/process.py
@@ -38,7 +38,7 @@
     """Composes and owns the replica server, gossip, the admin API and the connections of a control plane."""
 
     def __init__(self, node_settings: NodeSettings, loop: asyncio.AbstractEventLoop) -> None:
-        self.node_settings = self.latest_settings = node_settings  # in use, and as read last
+        self.node_settings = self.latest_settings = node_settings  # in use, and as last read
         self._loop = loop
         control = node_settings.listen_addresses.control_plane
         assert control is not None and node_settings.data_directory is not None
@@ -132,7 +132,7 @@
             self.gossip_server.flush()
 
     async def shutdown(self, grace_s: float) -> None:
-        """Hand leadership over, ask to be removed, drain connections and stop.
+        """Transfer the leadership, ask to be removed, drain connections and stop.
 
         Parameters
         ----------
--- a/cometdoor/control/read_rounds.py
+++ b/cometdoor/control/read_rounds.py
@@ -27,7 +27,7 @@
     """Heartbeat rounds that one replica starts as a leader, and the newest one that a majority answered."""
 
     def __init__(self) -> None:
-        self.last_number = 0  # number of the newest round; it rises through all terms of this incarnation
+        self.last_number = 0  # number of the newest round; it increases across all terms of this incarnation
         self.confirmed_at = NEVER  # start of the newest confirmed round of this term
         self._unconfirmed: deque[ReadRound] = deque()  # of this term, oldest first
 
--- a/cometdoor/control/rebuild.py
+++ b/cometdoor/control/rebuild.py
@@ -5,7 +5,7 @@
 the rule by which voters compare logs). All its entries are kept: one that is not known to be committed may
 have been acknowledged, and losing it would be worse than keeping it. Lost claims can't be told from keys
 that were never claimed, so the new group accepts no claim until the window in which they could matter has
-passed on its own clock.
+passed on the new group's clock.
 """
 
 from __future__ import annotations
@@ -71,16 +71,16 @@
     sources : Sequence[Path]
         Data directories that remain of the old group; they are only read.
     target : Path
-        The new data directory; it must hold no log file.
+        The new data directory; it must contain no log file.
     me : Member
-        The new group's only member; a new id is drawn for it.
+        The new group's only member; a new id is generated for it.
     idempotency_window_s : float
         Idempotency window, for which the new group accepts no claims.
 
     Raises
     ------
     RebuildError
-        `target` is not empty, or a source is faulty or holds no member.
+        `target` contains a log, or a source is faulty or contains no member's state.
     DiskError
         A file can't be read or written.
     NotADirectoryError
--- a/cometdoor/control/recovery.py
+++ b/cometdoor/control/recovery.py
@@ -14,14 +14,14 @@
 
 
 class LoadedState(NamedTuple):
-    """State with which a replica starts; `is_new`: the disk held no valid state, and the id is new."""
+    """State with which a replica starts; `is_new`: the disk had no valid state, so the id is new."""
 
     durable_state: DurableState
     is_new: bool
 
 
 def load_durable_state(log_file: WriteAheadLog) -> LoadedState:
-    """Open the log and return what it holds; if it counts as empty, an empty state with a new id.
+    """Open the log and return its state; if it is empty or corrupt, an empty state with a new id.
 
     Raises
     ------
@@ -35,7 +35,7 @@
             step="open",
             peer=str(log_file.directory),
         )
-        # The corrupt file stays until the new one is complete: without it an older file would count again.
+        # The corrupt file stays until the new one is complete: without it an older file would be used again.
     if recovered.is_corrupt or not recovered.durable_state.id:
         return LoadedState(DurableState(id=secrets.token_hex(6)), is_new=True)
     return LoadedState(recovered.durable_state, is_new=False)
--- a/cometdoor/control/replica.py
+++ b/cometdoor/control/replica.py
@@ -1,4 +1,4 @@
-"""A replica of the group that orders all changes in one log. No I/O; clock and randomness are passed in.
+"""A replica of the group that replicates one log of all changes. No I/O; clock and randomness are passed in.
 
 Raft (Ongaro and Ousterhout, USENIX ATC 2014) with prevote, check quorum, leadership transfer and changes of
 one member at a time (Ongaro's dissertation, 3.10, 4 and 9.6). A replica's id belongs to a disk, not to an
@@ -42,8 +42,9 @@
 )
 from cometdoor.wire.log_entries import Change, LogEntry, Member, MembershipChange, Noop
 
-SUCCESSOR_WAIT_S = 0.3  # for the successor to receive the last entries; then it is named without them
-LEADERSHIP_TRANSFER_TIMEOUT_S = 2 * ELECTION_TIMEOUT_MAX_S  # no changes are accepted for this time
+# A leader waits at most this long for its successor to receive the last entries before it names it.
+SUCCESSOR_WAIT_S = 0.3
+LEADERSHIP_TRANSFER_TIMEOUT_S = 2 * ELECTION_TIMEOUT_MAX_S  # meanwhile no changes are accepted
 
 
 class Replica(ReplicaContext):
@@ -84,7 +85,10 @@
         return self.storage.pop_batch(now, self.committed)
 
     def on_written(self, count: int, now: float) -> None:
-        """Send replies, count votes and commit entries that waited for the last batch, of `count` records."""
+        """Handle the completed write of the last batch, of `count` records.
+
+        Send the replies that waited for it, count votes and advance the commit index.
+        """
         self.now = now
         self.outbox += self.storage.on_batch_written(count, self.log.last_index)
         if self.role is Role.CANDIDATE:
@@ -95,7 +99,7 @@
     # --- time ---
 
     def tick(self, now: float) -> None:
-        """Act on timeouts."""
+        """Handle expired timeouts: of elections or, on the leader, of heartbeats and members."""
         self.now = now
         if self.role is not Role.LEADER:
             self.elections.tick()
@@ -196,7 +200,7 @@
         return self.role is Role.LEADER and self.committed >= self._first_index_of_term
 
     def may_accept(self) -> bool:
-        """Whether this replica may accept changes, apart from contact with a majority."""
+        """Return whether this replica may accept changes, apart from contact with a majority."""
         return (
             self.is_leading
             and (self.is_bootstrapped or self.membership.may_accept_first_change())
@@ -206,7 +210,7 @@
     def propose(self, change: Change) -> int:
         """Append a change to the log and return its index.
 
-        The change is committed if the entry that is later committed at that index has the present term.
+        The change is committed if the entry that is later committed at that index has the current term.
         Otherwise another leader's entry has replaced it.
         """
         entry = LogEntry(self.log.last_index + 1, self.term, change)
@@ -228,7 +232,7 @@
         return self.replication.start_read_round()
 
     def is_read_round_confirmed(self, round_number: int) -> bool:
-        """Whether a majority has confirmed that read round."""
+        """Return whether a majority has confirmed that read round."""
         return self.replication.is_read_round_confirmed(round_number)
 
     @property
--- a/cometdoor/control/replica_server.py
+++ b/cometdoor/control/replica_server.py
@@ -1,4 +1,4 @@
-"""Runs one replica in its process: timers, connections, the disk, the state machine and waiting requests.
+"""Runs one replica in its process: timers, connections, the disk, the state machine and pending requests.
 
 Decisions are made without I/O in `replica`, `leader_contact`, `leader_duties`, `membership_requester`,
 `pending_requests` and `state_machine`. This module carries them out: everything that arrives in one iteration
@@ -49,11 +49,11 @@
 from cometdoor.wire.log_entries import Change, Member
 from cometdoor.wire.peer_connection import PeerConnection
 
-TICK_INTERVAL_S = 0.03  # of the replica's timer; below LeaderContactMonitor's PAUSE_DETECTION_S
+TICK_INTERVAL_S = 0.03  # of the replica's timer; must be below PAUSE_DETECTION_S of `leader_contact`
 READ_TIMEOUT_S = 0.8  # a read that no majority has confirmed by then is abandoned
 log = structlog.get_logger()
 
-OnReadConfirmed = Callable[[bool], None]  # whether the state holds everything acknowledged before the call
+OnReadConfirmed = Callable[[bool], None]  # whether the state has everything acknowledged before the call
 # Messages among the replicas of the group; others are requests to the leader, or not for the control plane.
 GROUP_MESSAGES = (
     RequestVote,
@@ -132,7 +132,7 @@
         self._was_leading = False
         self._is_turn_scheduled = False
         self._tick_timer: asyncio.TimerHandle | None = None
-        # Each incarnation writes a file of its own. Until its first batch is synced, the older file counts.
+        # Each incarnation writes a file of its own. Until its first batch is synced, the older file is valid.
         self._initial_records = self.replica.compact()
         self._disk_writer = DiskWriter(loop, self.log_file, self._on_written)
         log.info(
@@ -203,7 +203,7 @@
         self._schedule_turn()
 
     def read(self, on_confirmed: OnReadConfirmed) -> None:
-        """Call `on_confirmed` once: True if the state holds everything acknowledged before this call."""
+        """Call `on_confirmed` once: with True if the state has everything acknowledged before this call."""
         if not self.replica.is_leading:
             on_confirmed(False)
             return
--- a/cometdoor/control/replica_state.py
+++ b/cometdoor/control/replica_state.py
@@ -1,7 +1,8 @@
 """State that all parts of a replica share, and the operations of the replica that the parts may call.
 
 `elections`, `replication`, `membership`, `snapshots` and `chunked_transfer` each implement one part of the
-protocol. They know `ReplicaContext` and the parts below them, never `Replica`, which is composed of them.
+protocol. They depend on `ReplicaContext` and, without cycles, on one another, but never on `Replica`, which
+is composed of them.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
     Parameters
     ----------
     durable : DurableState
-        What the replica's disk holds.
+        State read from the replica's disk.
     me : Member
         The replica itself; its id belongs to the disk.
     rng : random.Random
         Source of election timeouts.
     now : float
-        Present time on a steady clock.
+        Current time on a steady clock.
     """
 
     def __init__(self, durable: DurableState, me: Member, rng: random.Random, now: float) -> None:
@@ -50,10 +51,10 @@
         self.storage = StorageQueue(self.log.last_index, self.committed)
         self.outbox: list[OutgoingMessage] = []
         self.followers: dict[str, FollowerProgress] = {}  # by member id; maintained while this replica leads
-        self.snapshot_state: Callable[[], bytes] = lambda: b""  # encodes all that is committed and applied
+        self.snapshot_state: Callable[[], bytes] = lambda: b""  # encodes the state as of `applied`
         self.sizing = Sizing()
-        self.is_bootstrapped = False  # a configuration was accepted: the group has had enough voters once
-        self.is_retiring = False  # the process ends soon: the replica does not start elections
+        self.is_bootstrapped = False  # a configuration was accepted, so the group once had enough voters
+        self.is_retiring = False  # the process is shutting down, so the replica starts no elections
         self._voters_computed_from: tuple[Member, ...] = ()  # members from which `_voters` was computed
         self._voters: tuple[Member, ...] = ()
 
@@ -78,11 +79,11 @@
         return next((member for member in self.members if member.id == id), None)
 
     def is_member(self, id: str) -> bool:
-        """Whether that id belongs to the group, as a voter or a learner."""
+        """Return whether that id belongs to the group, as a voter or a learner."""
         return any(member.id == id for member in self.members)
 
     def is_voter(self, id: str) -> bool:
-        """Whether that id belongs to a voter."""
+        """Return whether that id belongs to a voter."""
         return any(voter.id == id for voter in self.voters)
 
     def majority(self) -> int:
@@ -102,7 +103,7 @@
         return [voter for voter in self.voters if voter.id != self.me.id]
 
     def track_follower(self, member: Member, next_index: int) -> FollowerProgress:
-        """Return the member's progress; a new follower is sent entries from `next_index` on."""
+        """Return the member's progress; if it is not tracked yet, start with `next_index`."""
         return self.followers.setdefault(member.id, FollowerProgress(next_index, last_seen_at=self.now))
 
     def voter_progress(self) -> list[FollowerProgress]:
@@ -127,7 +128,8 @@
     ) -> None:
         """Answer a leader's append, snapshot or chunk.
 
-        `index` is the last entry that agrees with the leader's log, after a failure the entry to go back to.
+        On success `index` is the last entry that agrees with the leader's log, otherwise the entry from which
+        the leader is to send again.
         """
         reply = AppendEntriesReply(
             self.term, self.me.id, success, index, round, accepts_chunks=True, supports_learners=True
@@ -136,7 +138,7 @@
 
 
 class ReplicaContext(ReplicaState, ABC):
-    """The replica as its parts see it: the shared state, and operations that involve several parts."""
+    """Interface of a replica to its parts: the shared state, and operations that involve several parts."""
 
     @property
     @abstractmethod
@@ -158,11 +160,11 @@
 
     @abstractmethod
     def step_down(self, term: int) -> None:
-        """Return to being a follower in that term, which is not lower than the current one."""
+        """Become a follower in that term, which is not lower than the current one."""
 
     @abstractmethod
     def transfer_leadership(self) -> None:
-        """Hand the leadership over to the most up-to-date voter in contact."""
+        """Transfer the leadership to the most up-to-date voter in contact."""
 
     @abstractmethod
     def propose(self, change: Change) -> int:
--- a/cometdoor/control/replication.py
+++ b/cometdoor/control/replication.py
@@ -16,9 +16,9 @@
 from cometdoor.wire.consensus import AppendEntries, AppendEntriesReply
 from cometdoor.wire.log_entries import LogEntry, Member
 
-CHECK_QUORUM_TIMEOUT_S = 1.0  # a leader that hears no majority for this time steps down
-APPEND_MAX_ENTRIES = 400  # in one append
-APPEND_MAX_BYTES = 1 << 20  # of the entries in one append, unless it has only one
+CHECK_QUORUM_TIMEOUT_S = 1.0  # a leader that hears from no majority for this time steps down
+APPEND_MAX_ENTRIES = 400  # per append
+APPEND_MAX_BYTES = 1 << 20  # size of the entries per append, unless it has only one
 
 
 class Replication:
@@ -66,7 +66,7 @@
         }
 
     def has_recent_quorum(self) -> bool:
-        """Whether a majority, with this leader, answered within `CHECK_QUORUM_TIMEOUT_S` (check quorum)."""
+        """Return whether a majority, with this leader, answered within `CHECK_QUORUM_TIMEOUT_S`."""
         replica = self._replica
         responsive = sum(
             replica.now - one.last_seen_at < CHECK_QUORUM_TIMEOUT_S for one in replica.voter_progress()
@@ -79,7 +79,7 @@
             self.broadcast_heartbeat()
 
     def flush(self) -> None:
-        """Send entries that were appended since the last append to each member."""
+        """Send each member the entries that were appended to the log since the last append to it."""
         for member in self._replica.other_members():
             self.send_append(member)
 
@@ -93,7 +93,7 @@
         self.read_rounds.confirm(self._is_round_answered)
 
     def send_append(self, member: Member, heartbeat: bool = False) -> None:
-        """Send a member what its log lacks next: entries, chunks of a transfer, or a snapshot.
+        """Send a member the next part that its log lacks: entries, chunks of a transfer, or a snapshot.
 
         With `heartbeat` an append is sent in any case, empty if another one is in flight.
         """
@@ -119,7 +119,7 @@
         previous = progress.next_index - 1
         previous_term = log.term_at(previous)
         entries: list[LogEntry] = []
-        if previous_term is None:  # the entry is compacted: the member receives the snapshot instead
+        if previous_term is None:  # the entry was compacted; the member receives the snapshot instead
             previous, previous_term = log.base_index, log.term_at(log.base_index) or 0
         elif may_append and progress.next_index <= log.last_index:
             entries = log.entries_after(previous, APPEND_MAX_ENTRIES, APPEND_MAX_BYTES)
@@ -173,7 +173,7 @@
         return self._cached_payload
 
     def on_append_entries_reply(self, reply: AppendEntriesReply) -> bool:
-        """Handle a follower's answer; return whether it counts in the present term."""
+        """Handle a follower's answer; return whether it counts in the current term."""
         replica = self._replica
         if reply.term > replica.term:
             replica.step_down(reply.term)
@@ -226,11 +226,11 @@
         return self.round
 
     def is_read_round_confirmed(self, round: int) -> bool:
-        """Whether this replica leads and a majority has answered that round."""
+        """Return whether this replica leads and a majority has answered that round."""
         return self._replica.is_leading and self._is_round_answered(round)
 
     def _is_round_answered(self, round: int) -> bool:
-        """Whether a majority has answered that round or a later one."""
+        """Return whether a majority has answered that round or a later one."""
         replica = self._replica
         responsive = sum(one.round >= round for one in replica.voter_progress()) + replica.is_voter(
             replica.me.id
--- a/cometdoor/control/roles.py
+++ b/cometdoor/control/roles.py
@@ -6,7 +6,7 @@
 
 
 class Role(Enum):
-    """What a replica is in its current term (Raft, 5.1); the values appear in `Core.Describe`."""
+    """Role of a replica in its current term (Raft, 5.1); the values appear in `Core.Describe`."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "trial"  # asks whether it would be elected (prevote: dissertation, 9.6)
--- a/cometdoor/control/snapshots.py
+++ b/cometdoor/control/snapshots.py
@@ -1,7 +1,7 @@
 """Snapshots: compaction of a replica's own log, and sending the state to a follower that is far behind.
 
-A snapshot is sent in chunks (see `chunked_transfer`); a transfer goes on with the snapshot it began with,
-even if the leader compacts its log meanwhile. The follower installs it when it is complete, and
+A snapshot is sent in chunks (see `chunked_transfer`); a transfer continues with the snapshot with which
+it began, even if the leader compacts its log meanwhile. The follower installs it when it is complete, and
 acknowledges it once it is on disk.
 """
 
@@ -24,33 +24,33 @@
 from cometdoor.wire.consensus import InstallSnapshot
 from cometdoor.wire.log_entries import Member
 
-# Added to the time after which an unanswered snapshot that is not sent in chunks is sent again: it is large.
+# Added to the resend timeout of a snapshot that is not sent in chunks, because it is large.
 SNAPSHOT_RESEND_EXTRA_S = 4 * APPEND_RESEND_TIMEOUT_S
-# A new file is started once more bytes than both limits were written after the current file's first batch: an
+# A new file is started once the bytes written after the current file's first batch exceed both limits: an
 # absolute one, and a multiple of that batch, since each new file contains the whole snapshot again. With 8 MB
 # of configuration there are at most two files of 40 MB.
 COMPACTION_MIN_WRITTEN_BYTES = 8 << 20
 COMPACTION_MIN_GROWTH_FACTOR = 3
 COMPACTION_MAX_APPLIED_ENTRIES = 20_000  # applied since the last snapshot
-# Entries that the snapshot covers, retained for followers that were away for a moment: no more than the
-# snapshot's size, since sending that is as fast.
+# Size of entries that the snapshot covers but that are retained for followers that were briefly out of
+# contact: no more than the snapshot's size, since sending the snapshot is as fast.
 RETAINED_MAX_BYTES = 4 << 20
 RETAINED_MIN_BYTES = 64 << 10
-# A follower that lacks more, and more than twice the last snapshot's size, is sent a new snapshot.
+# A follower that lacks more than this, and more than twice the last snapshot's size, is sent a new snapshot.
 NEW_SNAPSHOT_MIN_LAG_BYTES = 1 << 20
-# While a snapshot is being sent: later changes follow it as entries.
+# Limit while a snapshot is being sent: the follower then receives later changes as entries.
 RETAINED_DURING_SNAPSHOT_MAX_BYTES = 16 << 20
 
 
 def is_compaction_due(file_bytes: int, initial_bytes: int, applied_entries: int) -> bool:
-    """Whether the log file is to be replaced by one that begins with a snapshot.
+    """Return whether the log file is to be replaced by one that begins with a snapshot.
 
     Parameters
     ----------
     file_bytes : int
         Current size of the file.
     initial_bytes : int
-        Size of its first batch, which holds the snapshot.
+        Size of its first batch, which contains the snapshot.
     applied_entries : int
         Entries applied since the last snapshot.
     """
--- a/cometdoor/control/state_machine.py
+++ b/cometdoor/control/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine: configuration in force, claims on idempotency keys, and elapsed time.
 
 Every member applies the same entries in the same order and reaches the same state. No I/O, no clock: time
-is the sum of the leaders' `ClockAdvance` entries, so it never runs ahead of a steady clock and stands still
-without a leader. A claim is therefore kept for at least its window, also across restarts.
+is the sum of the leaders' `ClockAdvance` entries, so it never runs ahead of a steady clock and stops
+while there is no leader. A claim is therefore kept for at least its window, also across restarts.
 
 The base revision of a configuration is compared when its entry is applied, never before: the order of the
 log decides between concurrent changes, and senders are answered with that result (`ApplyResult`).
@@ -22,8 +22,8 @@
 from cometdoor.wire.keys import KEYS_CLOSED
 from cometdoor.wire.log_entries import Change, Claim, ClockAdvance, ConfigurationChange
 
-# Added to the window: it covers the time from a client's request to its claim, and the time of one leader
-# that no `ClockAdvance` counted.
+# Added to the window to cover the time from a client's request to its claim, and the time of one leader that
+# no `ClockAdvance` counted.
 IDEMPOTENCY_WINDOW_SLACK_MS = 5_000
 
 
@@ -36,7 +36,7 @@
 
 
 class StateMachineSnapshot(msgspec.Struct, array_like=True):
-    """The encoded form of the state machine; fields are only ever added at the end."""
+    """The encoded form of the state machine; new fields are added only at the end."""
 
     revision: int
     body: bytes
@@ -79,8 +79,8 @@
         self.now_ms = 0
         self.keys: dict[str, StoredClaim] = {}  # oldest first
         self._accepted = AcceptedConfigurations()
-        # Set when a group is rebuilt after the loss of its majority: until then no new claim is accepted,
-        # since a lost claim may contradict it.
+        # Set when a group is rebuilt after the loss of its majority. New claims are rejected until then,
+        # since they may contradict a lost claim.
         self.claims_suspended_until_ms = 0
 
     def copy(self) -> StateMachine:
@@ -96,7 +96,7 @@
         return self.now_ms < self.claims_suspended_until_ms
 
     def suspend_claims(self) -> None:
-        """Reject new claims for as long as any lost claim could still count."""
+        """Reject new claims for as long as any lost claim could still be valid."""
         self.claims_suspended_until_ms = self.now_ms + self._idempotency_window_ms
 
     def apply(self, change: Change) -> ApplyResult:
@@ -112,7 +112,7 @@
         return ApplyResult(True, self.revision)
 
     def was_accepted(self, revision: int, body: bytes) -> bool:
-        """Whether this very configuration was accepted."""
+        """Return whether exactly this configuration was accepted."""
         return self._accepted.look_up(0, revision, body) is Acceptance.ACCEPTED
 
     def _apply_configuration(self, change: ConfigurationChange) -> ApplyResult:
--- a/cometdoor/control/storage.py
+++ b/cometdoor/control/storage.py
@@ -1,4 +1,4 @@
-"""Records that a replica has yet to write, and messages that must not be sent before them. No I/O.
+"""Queue of a replica's pending writes, and of messages that must not be sent before them. No I/O.
 
 The replica server takes the pending records as one batch (group commit), writes and syncs them, and reports
 completion. No batch is returned while another one is being written.
@@ -10,8 +10,8 @@
 
 from cometdoor.control.durable_state import CommitIndex, LogEntries, Record
 
-# A replica whose batch takes longer neither votes nor continues to lead, as every change would wait for its
-# disk.
+# A replica whose batch takes longer than this neither votes nor continues to lead, as every change would wait
+# for its disk.
 SLOW_WRITE_THRESHOLD_S = 0.25
 
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogWatermark:
-    """With `record_count` records on disk the durable log reaches `last_index`."""
+    """The durable log reaches `last_index` once `record_count` records are on disk."""
 
     record_count: int
     last_index: int
@@ -73,11 +73,11 @@
         return self._pending
 
     def is_flushed(self) -> bool:
-        """Whether all records added so far are on disk."""
+        """Return whether all records added so far are on disk."""
         return self._written_records >= self._requested_records
 
     def is_slow(self, now: float) -> bool:
-        """Whether the current batch takes so long that this replica should neither vote nor lead."""
+        """Return whether the current batch takes so long that this replica should neither vote nor lead."""
         return self._batch_started_at is not None and now - self._batch_started_at > SLOW_WRITE_THRESHOLD_S
 
     def add(self, *records: Record, last_index: int) -> None:
@@ -111,7 +111,7 @@
         ]
 
     def defer(self, outgoing: OutgoingMessage) -> bool:
-        """Hold a message back until all pending records are on disk; returns False if there are none."""
+        """Defer a message until all pending records are on disk; return False if there are none."""
         if self.is_flushed():
             return False
         self._deferred.append(DeferredMessage(self._requested_records, outgoing))
--- a/cometdoor/control/write_ahead_log.py
+++ b/cometdoor/control/write_ahead_log.py
@@ -1,15 +1,16 @@
 """A write-ahead log that survives any loss of power, stored with `dbm.dumb`.
 
 `dbm.dumb` guarantees nothing: a value may be torn, its index may refer to missing values, and its two files
-change independently. So nothing here relies on its index. Every value (a batch of records) has a header with
-magic, checksum, length and number, and begins at a block of 512 bytes, as `dbm.dumb` lays them. On opening,
-the `.dat` file is scanned block by block and the index is not read at all. No value is ever overwritten.
+change independently. So this module never relies on the index. Every value (a batch of records) has a
+header with magic, checksum, length and number, and begins at a block of 512 bytes, as `dbm.dumb` aligns it.
+On opening, the `.dat` file is scanned block by block and the index is not read at all. No value is ever
+overwritten.
 The file may hold:
 
-- complete batches in the order of their numbers: they count, up to the first number that is missing;
-- after that, remains of writes that were never synced: they were never acknowledged;
+- complete batches in the order of their numbers, valid up to the first number that is missing;
+- after that, parts of writes that were never synced and so never acknowledged;
 - a gap before a batch whose header names the missing number as synced: the disk lost an acknowledged write
-  (a flipped bit, a lost block). Then the disk counts as empty, and its owner as an unknown replica.
+  (a flipped bit, a lost block). Then the disk is treated as empty, and its replica as unknown to the group.
 
 A file is written by one incarnation only. The next one begins a new file with the complete state. A loss of
 power may keep or lose each name that was created or removed without a sync of the directory. So the
@@ -17,7 +18,7 @@
 and after, so that no older file reappears once a write is acknowledged that only the new file contains.
 
 A failed write is truncated before the next attempt, and a file whose first write failed is removed, so that
-attempts that fail for hours take no space.
+attempts that fail for hours use no disk space.
 """
 
 from __future__ import annotations
@@ -103,10 +104,10 @@
     """State recovered from one log file."""
 
     durable_state: DurableState = field(default_factory=DurableState)
-    last_number: int = 0  # number of the last batch that counts
+    last_number: int = 0  # number of the last valid batch
     is_corrupt: bool = False  # a batch is missing that a later one records as synced
     ignored_batches: int = 0  # complete batches after a gap
-    is_empty: bool = True  # no batch counts
+    is_empty: bool = True  # no batch is valid
 
 
 def replay_batches(batches: Sequence[WriteBatch]) -> RecoveredLog:
@@ -167,11 +168,11 @@
         recovered = replay_batches(list(scan_batches(data)))
         if recovered.is_corrupt or not recovered.is_empty:
             return RecoveredDirectory(recovered, newest_number)
-        # Its first batch was never synced, so the file before it was not removed and still counts.
+        # Its first batch was never synced, so the file before it was not removed and is still valid.
     return RecoveredDirectory(RecoveredLog(), newest_number)
 
 
-# --- disk operations, replaced in simulated losses of power (simulation/power_loss.py) ---
+# --- disk operations, replaced to simulate a loss of power (simulation/power_loss.py) ---
 
 
 def _with_descriptor(path: Path, flags: int, call: Callable[[int], None]) -> None:
@@ -193,7 +194,7 @@
 
 
 def truncate_file(path: Path, size_bytes: int) -> None:
-    """Cut a file off at that size."""
+    """Truncate a file to that size."""
     _with_descriptor(path, os.O_RDWR, lambda descriptor: os.ftruncate(descriptor, size_bytes))
 
 
@@ -231,7 +232,7 @@
         return recovered
 
     def rotate(self, records: Sequence[Record]) -> None:
-        """Start a new file with `records`, which hold the complete state; remove older files.
+        """Start a new file with `records`, which contain the complete state; remove older files.
 
         Raises
         ------
@@ -255,7 +256,7 @@
         self._path = path.with_suffix(".dat")
         self.size_bytes = self.initial_size_bytes = self._batch_number = self._last_synced_number = 0
         try:
-            self.close()  # else its index is written at garbage collection, after its file was removed
+            self.close()  # otherwise garbage collection writes its index after its file was removed
             self._database = dbm.dumb.open(str(path), "n")  # noqa: SIM115 - it stays open
             self._append(records)
         except OSError:
@@ -295,7 +296,7 @@
         self._attempts += 1
         batch = encode_batch(self._batch_number + 1, self._last_synced_number, records)
         if self._path.stat().st_size > self.size_bytes:
-            truncate_file(self._path, self.size_bytes)  # remains of a failed attempt
+            truncate_file(self._path, self.size_bytes)  # partial data of a failed attempt
         # A new key for each attempt: dbm.dumb overwrites the value of an existing key in place.
         self._database[f"{self._batch_number + 1}.{self._attempts}"] = batch
         sync_file(self._path)
