--- a/cometdoor/control/offline_inspection.py
+++ b/cometdoor/control/offline_inspection.py
@@ -94,23 +94,23 @@
     contents.faults += _find_gaps(durable_state.entries, base_index)
     if recovered.ignored_batches and not recovered.is_corrupt:
         contents.warnings.append(
-            f"{recovered.ignored_batches} values behind value {recovered.last_number} were never synced"
+            f"{recovered.ignored_batches} batches after batch {recovered.last_number} were never synced"
         )
     return contents
 
 
 def _find_faults(recovered: RecoveredLog, newest_number: int) -> list[str]:
-    """Return what is wrong with the log files; `newest_number` is 0 if there is none."""
+    """Return the faults of the log files; `newest_number` is 0 if there is none."""
     faults = []
     if newest_number and recovered.is_empty:
-        faults.append("no file holds a whole value")
+        faults.append("no log file contains a complete batch")
     if recovered.is_corrupt:
         faults.append(
-            f"value {recovered.last_number + 1} is missing although a later one calls it synced: the "
-            "disk lost what it had promised; who starts on it counts as a stranger"
+            f"batch {recovered.last_number + 1} is missing, but a later one records it as synced: the disk "
+            "lost an acknowledged write; a control plane that starts on it joins as a new member"
         )
     elif newest_number and not recovered.durable_state.id:
-        faults.append("it names no member")
+        faults.append("the log contains no member id")
     return faults
 
 
@@ -120,7 +120,9 @@
         if entry.index != previous_index + 1:
             faults.append(f"entry {previous_index + 1} is missing; entry {entry.index} follows")
         if entry.term < term:
-            faults.append(f"entry {entry.index} is of term {entry.term}, behind one of term {term}")
+            faults.append(
+                f"entry {entry.index} has term {entry.term}, but the entry before it has term {term}"
+            )
         previous_index, term = entry.index, entry.term
     return faults
 
--- a/cometdoor/control/rebuild.py
+++ b/cometdoor/control/rebuild.py
@@ -87,7 +87,9 @@
         A source doesn't exist.
     """
     if target in sources or list_log_files(target):
-        raise RebuildError(f"{target} holds a member already; the new one needs an empty directory")
+        raise RebuildError(
+            f"{target} already contains a member's data; the new member needs an empty directory"
+        )
     candidates = _read_sources(sources, idempotency_window_s)
     source = max(candidates, key=lambda candidate: log_position(candidates[candidate]))
     best = candidates[source]
@@ -121,7 +123,7 @@
         if contents.faults:
             raise RebuildError(f"{source}: {contents.faults[0]}")
         if not contents.durable_state.id:
-            raise RebuildError(f"{source} holds no member")
+            raise RebuildError(f"{source} contains no member's data")
     return candidates
 
 
--- a/stories/control/test_offline_inspection.py
+++ b/stories/control/test_offline_inspection.py
@@ -55,7 +55,7 @@
         flipped = bytearray(content)
         flipped[2 * BLOCK_BYTES + 60] ^= 4  # in a value that a later one shows to be synced
         path.write_bytes(bytes(flipped))
-        assert "lost what it had promised" in read_data_directory(Path(name)).faults[0]
+        assert "lost an acknowledged write" in read_data_directory(Path(name)).faults[0]
         with raises(NotADirectoryError):
             read_data_directory(Path(name) / "nowhere")
 
@@ -71,7 +71,7 @@
         assert command("state", "verify", name)[0] == 0
         next(Path(name).glob("*.dat")).write_bytes(b"\0" * 4 * BLOCK_BYTES)
         status, out, _ = command("state", "verify", name)
-        assert status == 1 and "no file holds a whole value" in out
+        assert status == 1 and "no log file contains a complete batch" in out
     assert command("state", "show", "/nowhere")[0] == 2
     assert command("members", "127.0.0.1:1")[0] == 1
 
@@ -126,7 +126,7 @@
         flipped[2 * BLOCK_BYTES + 60] ^= 4
         path.write_bytes(bytes(flipped))
         status, _, stderr = command("state", "rebuild", settings, str(folder / "old"))
-        assert status == 1 and "lost what it had promised" in stderr and not (folder / "new").exists()
+        assert status == 1 and "lost an acknowledged write" in stderr and not (folder / "new").exists()
         (folder / "none").mkdir()
         assert command("state", "rebuild", settings, str(folder / "none"))[0] == 1
         assert command("state", "rebuild", str(folder / "no.toml"), str(folder / "old"))[0] == 2
