--- a/cometdoor/control/chunked_transfer.py
+++ b/cometdoor/control/chunked_transfer.py
@@ -34,7 +34,7 @@
 
     data: bytes
     digest: bytes  # SHA-256 of `data`
-    last_index: int  # of the follower's log once it has the payload
+    last_index: int  # last index of the follower's log once it has the payload
     last_term: int
     is_snapshot: bool
 
@@ -57,8 +57,8 @@
     """A payload that is being sent to one follower; offsets in bytes, times on the steady clock."""
 
     payload: TransferPayload
-    last_activity_at: float  # when a chunk was sent or an answer came last
-    received_bytes: int = 0  # by the follower, as it reported
+    last_activity_at: float  # when a chunk was last sent or an acknowledgement last arrived
+    received_bytes: int = 0  # as reported by the follower
     sent_bytes: int = 0
     is_in_doubt: bool = False  # acknowledgements are missing: the follower may have lost its data
     is_resent: bool = False  # chunks were sent again since the last acknowledged progress
--- a/cometdoor/control/follower_progress.py
+++ b/cometdoor/control/follower_progress.py
@@ -20,8 +20,8 @@
     match_index: int = 0  # the follower's disk is known to agree with the leader's log up to this index
     append_sent_at: float = NEVER  # when the unanswered append was sent; NEVER if there is none
     last_seen_at: float = NEVER
-    round: int = 0  # the newest heartbeat round that the follower has answered
-    supports_learners: bool = True  # until an answer shows a build without learners
+    round: int = 0  # number of the newest heartbeat round that the follower has answered
+    supports_learners: bool = True  # True until a reply shows a build without learners
 
     def has_append_in_flight(self, now: float) -> bool:
         """Return whether an append was sent that is neither answered nor counted as lost."""
--- a/cometdoor/control/member_description.py
+++ b/cometdoor/control/member_description.py
@@ -18,7 +18,7 @@
     Noop,
 )
 
-LOG_PAGE_MAX_ENTRIES = 200  # in one response of the admin API
+LOG_PAGE_MAX_ENTRIES = 200  # per response of the admin API
 
 ContactDescription = TypedDict(
     "ContactDescription", {"confirmed": bool, "standing": str, "as-of-s": float | None}
--- a/cometdoor/control/pending_requests.py
+++ b/cometdoor/control/pending_requests.py
@@ -51,7 +51,7 @@
     """A read that no longer waits; `is_current` tells whether the state may be returned."""
 
     caller: ReadT
-    is_current: bool  # the state holds all that was acknowledged before the read
+    is_current: bool  # the state has everything acknowledged before the read
 
 
 class PendingRequests(Generic[ProposalT, ReadT]):
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self._proposals: dict[int, PendingProposal[ProposalT]] = {}  # by index of the entry
-        self._oldest_term = 0  # lowest term among them
+        self._oldest_term = 0  # lowest term of a pending proposal
         self._reads: list[PendingRead[ReadT]] = []
 
     def copy(self) -> PendingRequests[ProposalT, ReadT]:
--- a/cometdoor/control/read_rounds.py
+++ b/cometdoor/control/read_rounds.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.last_number = 0  # number of the newest round; it increases across all terms of this incarnation
         self.confirmed_at = NEVER  # start of the newest confirmed round of this term
-        self._unconfirmed: deque[ReadRound] = deque()  # of this term, oldest first
+        self._unconfirmed: deque[ReadRound] = deque()  # rounds of this term, oldest first
 
     def copy(self) -> ReadRounds:
         """Return an independent copy."""
--- a/cometdoor/control/replica_server.py
+++ b/cometdoor/control/replica_server.py
@@ -123,7 +123,7 @@
         durable_state, is_new = load_durable_state(self.log_file)
         self.replica = self._restore_replica(durable_state, me, sizing)
         self._contact_monitor = LeaderContactMonitor(self.replica, loop.time())
-        self._leader_connection: PeerConnection | None = None  # on which the leader was last heard
+        self._leader_connection: PeerConnection | None = None  # the one on which the leader was last heard
         self._pending_requests = PendingRequests[OnApplied, OnReadConfirmed]()
         self._leader_requests = LeaderRequests(self.replica, self.contact_status, self._propose_as_leader)
         self._membership_requester = MembershipRequester(self.replica, seeds)
@@ -257,7 +257,7 @@
         self._tick_timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _request_membership(self, now: float) -> None:
-        # Not before this incarnation's file is complete: until then it must not acknowledge anything.
+        # No requests before this incarnation's file is complete: until then it must not acknowledge anything.
         if not self._disk_writer.has_written:
             return
         request = self._membership_requester.next_request(now)
--- a/cometdoor/control/replication.py
+++ b/cometdoor/control/replication.py
@@ -275,7 +275,9 @@
 
     def _store_new_entries(self, entries: list[LogEntry]) -> None:
         replica, log = self._replica, self._replica.log
-        first_new = next((at for at, one in enumerate(entries) if log.term_at(one.index) != one.term), None)
+        first_new = next(
+            (position for position, one in enumerate(entries) if log.term_at(one.index) != one.term), None
+        )
         if first_new is None:
             return
         entries = entries[first_new:]
--- a/cometdoor/control/snapshots.py
+++ b/cometdoor/control/snapshots.py
@@ -31,7 +31,7 @@
 # of configuration there are at most two files of 40 MB.
 COMPACTION_MIN_WRITTEN_BYTES = 8 << 20
 COMPACTION_MIN_GROWTH_FACTOR = 3
-COMPACTION_MAX_APPLIED_ENTRIES = 20_000  # applied since the last snapshot
+COMPACTION_MAX_APPLIED_ENTRIES = 20_000  # entries applied since the last snapshot
 # Size of entries that the snapshot covers but that are retained for followers that were briefly out of
 # contact: no more than the snapshot's size, since sending the snapshot is as fast.
 RETAINED_MAX_BYTES = 4 << 20
--- a/cometdoor/control/write_ahead_log.py
+++ b/cometdoor/control/write_ahead_log.py
@@ -70,7 +70,7 @@
     number: int
     last_synced: int  # number of the last batch that was on disk when this was written
     records: list[Record]
-    offset: int  # in the file, bytes
+    offset: int  # bytes from the start of the file
 
 
 def encode_batch(number: int, last_synced: int, records: Sequence[Record]) -> bytes:
@@ -213,8 +213,8 @@
         self._path = directory
         self._file_number = self._batch_number = self._last_synced_number = self._attempts = 0
         self._records_being_rotated: Sequence[Record] | None = None  # until older files are removed
-        self.size_bytes = 0  # of complete batches
-        self.initial_size_bytes = 0  # of the first batch
+        self.size_bytes = 0  # size of the complete batches in the file
+        self.initial_size_bytes = 0  # size of the first batch
 
     def open(self) -> RecoveredLog:
         """Create the directory if needed, and recover the state that it holds.
--- a/tests/control/test_golden_data_directory.py
+++ b/tests/control/test_golden_data_directory.py
@@ -3,7 +3,7 @@
 They belong to a group of four (three voters, a learner) that lost all power while one member started a new
 file and the leader had an entry only on its own disk. `rebuilt` was made from two of them by `state rebuild`.
 All were written by that commit's own code in virtual time, with a snapshot every 45 changes. So was
-expected.json, from what that code read in them. They are never written again.
+expected.json, from what that code read in them. They are never regenerated.
 """
 
 from __future__ import annotations
@@ -228,7 +228,7 @@
         assert mesh.run(mesh.configure(revision, revision - 1)) == 200
     description = get_json(mesh, leader_within(mesh, 1.0), "/Core.Describe")
     assert description["revision"] == base + 2 and description["last"] >= last + 2
-    # The last change acknowledged before is deduplicated, not accepted twice.
+    # The last change that was acknowledged earlier is deduplicated, not accepted twice.
     assert mesh.run(mesh.configure(REVISIONS[-1], REVISIONS[-2])) == 200
     assert get_json(mesh, leader_within(mesh, 1.0), "/Core.Describe")["revision"] == base + 2
     check_nothing_is_lost(mesh)
@@ -385,6 +385,6 @@
 
 
 def test_the_configurations_of_the_fixture_are_those_of_the_test_double() -> None:
-    """What is sent again above is the very one that was acknowledged."""
+    """The configuration resent above is the one that was acknowledged."""
     for _, revision, body in EXPECTED["acknowledged"]["configurations"]:
         assert configuration(revision).hex() == body["hex"]
--- a/tests/control/test_golden_records.py
+++ b/tests/control/test_golden_records.py
@@ -1,6 +1,6 @@
 """Records on a member's disk are encoded as by commit 4033f28, and recover the same state.
 
-fixtures/records.json was written by that commit's own code; it is only ever added to.
+fixtures/records.json was written by that commit's own code; cases are only added to it.
 """
 
 from __future__ import annotations
--- a/tests/control/test_golden_state_machine.py
+++ b/tests/control/test_golden_state_machine.py
@@ -1,8 +1,8 @@
 """Replicas of two versions apply the same changes to the same state (fixtures/state_machine.json).
 
 The fixture was written by commit 4033f28's own code: changes, the result of each, and the snapshot after it.
-In a group of both versions, replicas that applied a change differently would diverge. It is only ever added
-to.
+In a group of both versions, replicas that applied a change differently would diverge. Cases are only added
+to it.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
     check_steps(new_state_machine(script["start"]), script["steps"])
 
 
-IMAGES = sorted(
+SNAPSHOTS = sorted(
     {
         snapshot
         for script in FIXTURE["scripts"].values()
@@ -69,7 +69,7 @@
 )
 
 
-@pytest.mark.parametrize("snapshot", IMAGES, ids=lambda snapshot: f"{len(snapshot) // 2} bytes")
+@pytest.mark.parametrize("snapshot", SNAPSHOTS, ids=lambda snapshot: f"{len(snapshot) // 2} bytes")
 def test_a_snapshot_is_decoded_and_encoded_to_the_same_bytes(snapshot: str) -> None:
     machine = new_state_machine(snapshot)
     assert machine.snapshot().hex() == snapshot
