--- a/cometdoor/budget/allocator.py
+++ b/cometdoor/budget/allocator.py
@@ -15,13 +15,13 @@
     OFFER_DURATION_S,
     POOLED_SHARE,
     POOLED_SLACK_SHARE,
-    granted_for_s,
+    grant_hold_time_s,
     quarantine_s,
 )
 from cometdoor.budget.sliding_window import ExpiringMaximum
 from cometdoor.wire.budget import LeaseDemand
 
-GRANTED_SHARE_OF_FREE = 0.5  # largest share of the free supply for one demand; the rest is for later ones
+GRANTED_SHARE_OF_FREE = 0.5  # of the free leasable retries, at most for one demand; later ones get the rest
 
 
 @dataclass
@@ -98,7 +98,7 @@
         if now < self._grants_from or demand.wanted_retries <= 0.0:
             return 0.0
         free = max(
-            self.supply(demand.service, now)
+            self.leasable_retries(demand.service, now)
             - sum(other.outstanding(now) for owner, other in allocations.items() if owner != incarnation),
             0.0,
         )
@@ -108,10 +108,10 @@
             free,
             already_granted + GRANTED_SHARE_OF_FREE * max(free - already_granted, 0.0),
         )
-        allocation.grants.add(amount, now + granted_for_s(self._window_s))
+        allocation.grants.add(amount, now + grant_hold_time_s(self._window_s))
         return amount
 
-    def supply(self, service: str, now: float) -> float:
+    def leasable_retries(self, service: str, now: float) -> float:
         """Return the retries per window that may be leased of one service's budget."""
         allocations = self._allocations.get(service, {}).values()
         requests = sum(
--- a/cometdoor/budget/lease.py
+++ b/cometdoor/budget/lease.py
@@ -18,7 +18,7 @@
 MAX_CLOCK_DRIFT_FACTOR = 1.05  # between two monotonic clocks, at worst
 
 
-def offered_for_s(window_s: float) -> float:
+def offer_hold_time_s(window_s: float) -> float:
     """Return for how long a proxy must not use an allowance that it offered, seconds.
 
     That is until the last retry that another proxy made with it has left the window.
@@ -26,7 +26,7 @@
     return MAX_CLOCK_DRIFT_FACTOR * (MAX_REPORT_AGE_S + OFFER_DURATION_S + LEASE_DURATION_S + window_s)
 
 
-def granted_for_s(window_s: float) -> float:
+def grant_hold_time_s(window_s: float) -> float:
     """Return for how long a grant counts as used at the leader, from the time of the grant, seconds."""
     return MAX_CLOCK_DRIFT_FACTOR * (LEASE_DURATION_S + window_s)
 
@@ -37,4 +37,4 @@
     A deposed leader stops granting within one second, which is added: see
     `cometdoor.control.leader_contact.QUORUM_CONTACT_MAX_AGE_S`.
     """
-    return 1.0 + granted_for_s(window_s)
+    return 1.0 + grant_hold_time_s(window_s)
--- a/cometdoor/budget/lease_client.py
+++ b/cometdoor/budget/lease_client.py
@@ -26,7 +26,7 @@
         connections: PeerConnections,
         incarnation: str,
         *,
-        core_addresses: Callable[[], list[str]],
+        replica_addresses: Callable[[], list[str]],
         proxy_count: Callable[[], int],
         on_floor_changed: Callable[[str, float], None],
         ratio: float,
@@ -43,7 +43,7 @@
             Connections of this process, for reports to the leader.
         incarnation : str
             Incarnation of this process.
-        core_addresses : Callable[[], list[str]]
+        replica_addresses : Callable[[], list[str]]
             Returns the replicas' internal addresses, the likeliest leader first.
         proxy_count : Callable[[], int]
             Returns the number of known proxies.
@@ -57,7 +57,7 @@
             Length of the window, seconds.
         """
         self._loop, self._connections, self._incarnation = loop, connections, incarnation
-        self._core_addresses = core_addresses
+        self._replica_addresses = replica_addresses
         self._proxy_count = proxy_count
         self._on_floor_changed = on_floor_changed
         self._ratio, self._slack, self._window_s = ratio, slack, window_s
@@ -120,8 +120,8 @@
             for service, share in self._shares.items()
             if (demand := share.build_demand(service, now, proxy_count)) is not None
         ]
-        core_addresses = self._core_addresses()
-        peer = self._leader or (core_addresses[0] if core_addresses else "")
+        replica_addresses = self._replica_addresses()
+        peer = self._leader or (replica_addresses[0] if replica_addresses else "")
         if not demands or not peer:
             return
         self._publish_floors(now)  # the proxy stops using an offer before the leader learns of it
--- a/cometdoor/budget/share.py
+++ b/cometdoor/budget/share.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from cometdoor.budget.lease import LEASE_DURATION_S, LOCAL_SHARE, LOCAL_SLACK_SHARE, offered_for_s
+from cometdoor.budget.lease import LEASE_DURATION_S, LOCAL_SHARE, LOCAL_SLACK_SHARE, offer_hold_time_s
 from cometdoor.budget.sliding_window import ExpiringMaximum, SlidingWindowSum
 from cometdoor.wire.budget import LeaseDemand
 
@@ -117,7 +117,7 @@
             self.local_allowance(now) - max(DEMAND_AHEAD_FACTOR * used, MIN_RESERVED_RETRIES), 0.0
         )
         if spare:
-            self._outstanding_offers.add(spare, now + offered_for_s(self._window_s))
+            self._outstanding_offers.add(spare, now + offer_hold_time_s(self._window_s))
         return LeaseDemand(service, requests, 0.0, spare)
 
     def on_granted(self, amount: float, requested_at: float) -> None:
--- a/cometdoor/dataplane/adaptive_throttling.py
+++ b/cometdoor/dataplane/adaptive_throttling.py
@@ -133,7 +133,7 @@
                 min(2.0 * self._step, INCREASE_STEP_MAX),
             )
 
-    def backoff_ms(self, earliest_ms: float, remaining_ms: float, now: float) -> float:
+    def backoff_ms(self, min_backoff_ms: float, remaining_ms: float, now: float) -> float:
         """Return after how many ms a rejected request should be retried: later as more requests are rejected.
 
         Guards against a retry during the same surge, which is rejected with no time left for another one.
@@ -141,17 +141,17 @@
 
         Parameters
         ----------
-        earliest_ms
+        min_backoff_ms
             Backoff while hardly any request is rejected.
         remaining_ms
             Time until the client's deadline.
         now
             Current time in ms.
         """
-        latest = RETRY_AFTER_MAX_SHARE * remaining_ms
-        earliest = min(earliest_ms, latest)
+        max_ms = RETRY_AFTER_MAX_SHARE * remaining_ms
+        min_ms = min(min_backoff_ms, max_ms)
         contention = min((1.0 - self._acceptance.rate(now)) / REJECTION_RATE_OF_MAX_RETRY_AFTER, 1.0)
-        return earliest + (latest - earliest) * contention * self._rng.uniform(JITTER_MIN, 1.0)
+        return min_ms + (max_ms - min_ms) * contention * self._rng.uniform(JITTER_MIN, 1.0)
 
     def record_acceptance(self, accepted: bool, now: float) -> None:
         """Count whether an admitted request found a slot."""
--- a/cometdoor/dataplane/attempt_replies.py
+++ b/cometdoor/dataplane/attempt_replies.py
@@ -24,7 +24,7 @@
     response: ForwardResponse | None
 
 
-def read_reply(reply: Message | PeerError) -> AttemptReply:
+def classify_reply(reply: Message | PeerError) -> AttemptReply:
     """Classify the reply to a forwarded attempt; a message of another type counts as a failure."""
     match reply:
         case ForwardResponse():
--- a/cometdoor/dataplane/backend_responses.py
+++ b/cometdoor/dataplane/backend_responses.py
@@ -31,23 +31,23 @@
     body), or if it is a success without a seal, or one that claims not to have been executed: neither proves
     that this backend executed the request.
     """
-    id: bytes | None = None
+    response_attempt_id: bytes | None = None
     is_encoded = is_sealed = is_not_executed = False
     for name, value in response.headers:  # one pass: this runs for each response
         field = name.lower()
         if field == ATTEMPT_ID_HEADER:
-            if id is not None and id != value:
+            if response_attempt_id is not None and response_attempt_id != value:
                 return ResponseCorrelation.AMBIGUOUS
-            id = value
+            response_attempt_id = value
         elif field == SEAL_HEADER:
             is_sealed = bool(value)
         elif field == NOT_EXECUTED_HEADER:
             is_not_executed = bool(value)
         elif field == CONTENT_ENCODING_HEADER:
             is_encoded = True
-    if not id:
+    if not response_attempt_id:
         return ResponseCorrelation.AMBIGUOUS
-    if id != attempt_id:
+    if response_attempt_id != attempt_id:
         return ResponseCorrelation.OTHER_REQUEST
     is_unproven = is_success(response.status) and (is_not_executed or not is_sealed)
     return ResponseCorrelation.AMBIGUOUS if is_encoded or is_unproven else ResponseCorrelation.MATCHES
--- a/cometdoor/dataplane/keyed_requests.py
+++ b/cometdoor/dataplane/keyed_requests.py
@@ -63,7 +63,7 @@
         Of this proxy's process; claims of an earlier incarnation are not its own.
     window_s
         Seconds for which an operation's outcome is kept.
-    core_addresses
+    replica_addresses
         Internal addresses of the core, the probable leader first.
     start_execution
         Hands the one execution of an operation to the client of its route's service; the listener is
@@ -78,14 +78,14 @@
         internal_address: str,
         incarnation: str,
         window_s: float,
-        core_addresses: Callable[[], list[str]],
+        replica_addresses: Callable[[], list[str]],
         start_execution: StartExecution,
     ) -> None:
         self.operations: KeyedOperations[OutboundRequest] = KeyedOperations(incarnation, window_s)
         self._loop = loop
         self._connections = connections
         self._internal_address = internal_address
-        self._claim_client = ClaimClient(loop, connections, core_addresses)
+        self._claim_client = ClaimClient(loop, connections, replica_addresses)
         self._start_execution = start_execution
         self._expire()
 
--- a/cometdoor/dataplane/outbound_proxy.py
+++ b/cometdoor/dataplane/outbound_proxy.py
@@ -38,7 +38,7 @@
     ----------
     internal_address
         Address at which other proxies reach this process, "ip:port".
-    core_addresses
+    replica_addresses
         Returns the internal addresses of the core, the probable leader first.
     incarnation
         Random id of this process.
@@ -55,7 +55,7 @@
         connections: PeerConnections,
         *,
         internal_address: str,
-        core_addresses: Callable[[], list[str]],
+        replica_addresses: Callable[[], list[str]],
         incarnation: str,
         proxy_count: Callable[[], int],
         retry_share: Callable[[], float],
@@ -75,14 +75,14 @@
             internal_address=internal_address,
             incarnation=incarnation,
             window_s=node_settings.bound_value("idempotency-window-s", 60.0),
-            core_addresses=core_addresses,
+            replica_addresses=replica_addresses,
             start_execution=self._start_keyed_execution,
         )
         self.budget_shares = BudgetShares(
             loop,
             connections,
             incarnation,
-            core_addresses=core_addresses,
+            replica_addresses=replica_addresses,
             proxy_count=proxy_count,
             on_floor_changed=lambda service, floor: self._service_client(service).on_budget_changed(floor),
             ratio=node_settings.bound_value("retry-budget-ratio", 0.2),
--- a/cometdoor/dataplane/process.py
+++ b/cometdoor/dataplane/process.py
@@ -47,7 +47,7 @@
 REPORT_INTERVAL_S = 5.0
 FINAL_RESPONSE_MARGIN_S = 0.3  # before the end of the grace period: open requests are failed then
 # Between the last write and the close of all connections: the link is still sending a chunk.
-LAST_BYTES_S = 0.1
+CLOSE_DELAY_S = 0.1
 log = structlog.get_logger()
 
 
@@ -104,7 +104,7 @@
             loop,
             self.connections,
             internal_address=internal_address,
-            core_addresses=self._core_addresses,
+            replica_addresses=self._replica_addresses,
             incarnation=incarnation,
             retry_share=self.inbound_proxy.retry_share,
             proxy_count=lambda: sum(record.role == ROLE for record in self.directory.records.values()),
@@ -200,7 +200,7 @@
 
     # --- endpoint lists ---
 
-    def _core_addresses(self) -> list[str]:
+    def _replica_addresses(self) -> list[str]:
         """Return the internal addresses of the core, the member that reports to lead first."""
         records = [record for record in self.directory.alive() if record.role == "controlplane"]
         records.sort(key=lambda record: record.state != "leading")
@@ -269,7 +269,7 @@
             self.outbound_frontend.close_idle()
             await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_S)
         self.outbound_proxy.fail_all()
-        await asyncio.sleep(LAST_BYTES_S)
+        await asyncio.sleep(CLOSE_DELAY_S)
         for frontend in (self.backend_frontend, self.readiness_frontend):
             frontend.stop_listening()
         self.gossip_server.stop()
--- a/cometdoor/dataplane/service_client.py
+++ b/cometdoor/dataplane/service_client.py
@@ -16,7 +16,7 @@
 from cometdoor.budget.share import BudgetShare
 from cometdoor.configuration.document import Route
 from cometdoor.dataplane.adaptive_throttling import MIN_GROUP_SIZE, AdaptiveThrottle
-from cometdoor.dataplane.attempt_replies import read_reply
+from cometdoor.dataplane.attempt_replies import classify_reply
 from cometdoor.dataplane.backend_endpoints import SLOW_START_MS, BackendEndpoint, EndpointList
 from cometdoor.dataplane.client_exchange import ClientExchange, ForwardedAttempt, remaining_ms
 from cometdoor.dataplane.request_classes import IDEMPOTENT_ROUTE_TYPES, RequestClassKey, request_class_of
@@ -121,8 +121,8 @@
         throttle = self._throttles[class_index]
         now = now_ms()
         if not throttle.admit(now):
-            earliest_ms = THROTTLED_RETRY_AFTER_SHARE * route.target_latency_s * 1000.0
-            caller.on_rejected(throttle.backoff_ms(earliest_ms, remaining_ms(request, now), now))
+            min_backoff_ms = THROTTLED_RETRY_AFTER_SHARE * route.target_latency_s * 1000.0
+            caller.on_rejected(throttle.backoff_ms(min_backoff_ms, remaining_ms(request, now), now))
             return None
         exchange = request.exchange = ClientExchange(caller, request, throttle)
         self._budget_share.record_request(now / 1000.0)
@@ -186,7 +186,7 @@
         sent_at_ms = now_ms()
 
         def on_reply(reply: Message | PeerError) -> None:
-            result, response = read_reply(reply)
+            result, response = classify_reply(reply)
             if response is not None:
                 self._statistics.on_response(now_ms() - sent_at_ms)
             exchange.on_attempt_ended(result, response)
--- a/cometdoor/dataplane/slots.py
+++ b/cometdoor/dataplane/slots.py
@@ -63,7 +63,7 @@
     started_at_ms: float = field(default=0.0, compare=False)  # when it was given a slot; 0: not yet
 
 
-class RequestKinds:
+class RequestKindValues:
     """Marginal value of serving one more request of each kind, per millisecond of its execution."""
 
     def __init__(self) -> None:
@@ -120,7 +120,7 @@
         self.capacity = 1
         self.in_flight = 0
         self.queued: list[SlotRequest] = []  # ordered by due time
-        self._kinds = RequestKinds()
+        self._kind_values = RequestKindValues()
         self._counts: Counter[str] = Counter()
         self._shed_groups: dict[tuple[RequestKind, Hashable], None] = {}  # oldest first
         self._execution_ms = DecayingAverage()
@@ -175,7 +175,7 @@
             # newest.
             least_valuable = min(
                 self.queued[: late_index + 1],
-                key=lambda candidate: (self._kinds.value(candidate, now), -candidate.number),
+                key=lambda candidate: (self._kind_values.value(candidate, now), -candidate.number),
             )
             rejected += self._shed_group(least_valuable, now)
         return rejected
@@ -218,7 +218,7 @@
         request.started_at_ms = now
         self._wait_ms.add(now - request.arrived_at_ms, now)
         self.in_flight += 1
-        self._kinds.record_decision(request, True, now)
+        self._kind_values.record_decision(request, True, now)
         self._counts[f"{request.kind.label()} started"] += 1
 
     def release(self, request: SlotRequest, now: float, completed: bool) -> None:
@@ -226,7 +226,7 @@
         self.in_flight -= 1
         if completed:
             self._execution_ms.add(now - request.started_at_ms, now)
-            self._kinds.record_execution(request, now)
+            self._kind_values.record_execution(request, now)
 
     def start_next(self, now: float) -> SlotRequest | None:
         """Start the request that is due first, if a slot is free, and return it."""
@@ -252,7 +252,7 @@
         return rejected
 
     def _record_rejection(self, request: SlotRequest, reason: str, now: float) -> None:
-        self._kinds.record_decision(request, False, now)
+        self._kind_values.record_decision(request, False, now)
         self._counts[f"{request.kind.label()} {reason}"] += 1
 
     def report(self, now: float) -> dict[str, float]:
--- a/cometdoor/keys/claims.py
+++ b/cometdoor/keys/claims.py
@@ -51,7 +51,7 @@
             for pending in self._claims:
                 pending.on_claimed("", "")
             return
-        peer = client.leader or client.next_core_address(self._attempts)
+        peer = client.leader or client.next_replica_address(self._attempts)
         self._attempts += 1
         if not peer:
             self._schedule_retry()
@@ -88,10 +88,10 @@
     def _on_claim_reply(self, peer: str, reply: ClaimReply) -> None:
         self._client.leader = peer
         results = list(zip(self._claims, reply.owners, strict=True))
-        self._claims = [pending for pending, current in results if not any(current)]
-        for pending, current in results:
-            if any(current):
-                pending.on_claimed(current.owner, current.claim_id)
+        self._claims = [pending for pending, key_owner in results if not any(key_owner)]
+        for pending, key_owner in results:
+            if any(key_owner):
+                pending.on_claimed(key_owner.owner, key_owner.claim_id)
         if self._claims:
             self._client.forget_leader(peer)
             self._schedule_retry()
@@ -113,13 +113,13 @@
         self,
         loop: asyncio.AbstractEventLoop,
         connections: PeerConnections,
-        core_addresses: Callable[[], list[str]],
+        replica_addresses: Callable[[], list[str]],
     ) -> None:
-        """Prepare; `core_addresses` returns the replicas' internal addresses, the likeliest leader first."""
+        """Set up the client; `replica_addresses` returns internal addresses, the likeliest leader first."""
         self.loop = loop
         self.connections = connections
         self.leader = ""
-        self._core_addresses = core_addresses
+        self._replica_addresses = replica_addresses
         self._queued_claims: list[PendingClaim] = []
 
     def claim(self, claim: Claim, on_claimed: OnClaimed) -> None:
@@ -132,10 +132,10 @@
         queued_claims, self._queued_claims = self._queued_claims, []
         ClaimBatch(self, queued_claims).send()
 
-    def next_core_address(self, attempt: int) -> str:
+    def next_replica_address(self, attempt: int) -> str:
         """Return the replica for an attempt without a known leader, in turn; empty if none is known."""
-        core_addresses = self._core_addresses()
-        return core_addresses[attempt % len(core_addresses)] if core_addresses else ""
+        replica_addresses = self._replica_addresses()
+        return replica_addresses[attempt % len(replica_addresses)] if replica_addresses else ""
 
     def forget_leader(self, peer: str) -> None:
         """Forget a leader that failed to order claims; a leader learned meanwhile is kept."""
--- a/cometdoor/keys/operation_stages.py
+++ b/cometdoor/keys/operation_stages.py
@@ -34,7 +34,7 @@
     OWNER_RELEASED = "the owner has released the key without executing"
     OWNER_UNKNOWN = "the owner does not know the outcome"
     OWNER_RUNNING = "the owner is executing"
-    OWNER_WITHOUT_ANSWER = "the owner's reply says nothing"
+    OWNER_REPLY_UNRECOGNIZED = "the owner's reply says nothing"
     OWNER_UNREACHABLE = "the owner did not reply"
     EXECUTED = "the backend responded"
     NOT_EXECUTED = "the request was not executed and never will be"
@@ -58,7 +58,7 @@
     (_Stage.REMOTE, _Event.OWNER_RELEASED): _Stage.CLAIMING,  # with a claim that supersedes the owner's
     (_Stage.REMOTE, _Event.OWNER_UNKNOWN): _Stage.UNKNOWN,
     (_Stage.REMOTE, _Event.OWNER_RUNNING): _Stage.FORGOTTEN,
-    (_Stage.REMOTE, _Event.OWNER_WITHOUT_ANSWER): _Stage.FORGOTTEN,
+    (_Stage.REMOTE, _Event.OWNER_REPLY_UNRECOGNIZED): _Stage.FORGOTTEN,
     (_Stage.REMOTE, _Event.OWNER_UNREACHABLE): _Stage.FORGOTTEN,
 }
 """Next stage by stage and event. An event that is not listed is late, or of a former claim: it is ignored."""
--- a/cometdoor/keys/operations.py
+++ b/cometdoor/keys/operations.py
@@ -44,7 +44,7 @@
     stage: OperationStage = OperationStage.CLAIMING
     response: ForwardResponse | None = None
     waiters: list[WaiterT] = field(default_factory=list)  # attempts that wait for the outcome
-    executing_for: WaiterT | None = None  # attempt whose request is being executed
+    executing_waiter: WaiterT | None = None  # attempt whose request is being executed
     outcome_listeners: list[Callable[[OperationReply], None]] = field(default_factory=list)  # other proxies
 
 
@@ -64,7 +64,7 @@
         """
         self._incarnation = incarnation
         self._window_s = window_s + WINDOW_SLACK_S
-        self._table: dict[str, Operation[WaiterT]] = {}  # oldest first
+        self._operations: dict[str, Operation[WaiterT]] = {}  # oldest first
         self._last_claim_number = 0
         self._counts: Counter[str] = Counter()
 
@@ -74,7 +74,7 @@
         return dict(counts)
 
     def __len__(self) -> int:
-        return len(self._table)
+        return len(self._operations)
 
     def _new_claim_id(self) -> str:
         self._last_claim_number += 1
@@ -87,16 +87,16 @@
             return False
         operation.stage = next_stage
         if next_stage is OperationStage.FORGOTTEN:
-            self._table.pop(operation.key, None)
+            self._operations.pop(operation.key, None)
         return True
 
     # --- attempts of clients ---
 
     def on_attempt(self, key: str, waiter: WaiterT, now: float) -> list[Action[WaiterT]]:
         """Start the operation of a key, or join the existing one."""
-        operation = self._table.get(key)
+        operation = self._operations.get(key)
         if operation is None:
-            operation = self._table[key] = Operation(key, self._new_claim_id(), now, waiters=[waiter])
+            operation = self._operations[key] = Operation(key, self._new_claim_id(), now, waiters=[waiter])
             return [SubmitClaim(key, operation.claim_id)]
         match operation.stage:
             case OperationStage.DONE:
@@ -128,7 +128,7 @@
         is_timed_out : bool
             True: its client is still connected and gets an answer. False: the client has disconnected.
         """
-        operation = self._table.get(key)
+        operation = self._operations.get(key)
         if operation is None or waiter not in operation.waiters:
             return []
         operation.waiters.remove(waiter)
@@ -141,7 +141,7 @@
 
     def _execute(self, operation: Operation[WaiterT], waiter: WaiterT) -> list[Action[WaiterT]]:
         self._advance(operation, OperationEvent.ATTEMPT)
-        operation.executing_for = waiter
+        operation.executing_waiter = waiter
         return [Execute(operation.key, waiter)]
 
     def _reject_all(self, operation: Operation[WaiterT]) -> list[Action[WaiterT]]:
@@ -161,7 +161,7 @@
             Owner of the key now, and its claim's id. The id is empty if the claim could not be ordered; the
             claim may still take effect then, unless the owner is `KEYS_CLOSED`.
         """
-        operation = self._table.get(key)
+        operation = self._operations.get(key)
         if operation is None or operation.stage is not OperationStage.CLAIMING:
             return []
         if not claim_id:
@@ -183,8 +183,8 @@
 
     def on_owner_reply(self, key: str, claim_id: str, reply: OperationReply | None) -> list[Action[WaiterT]]:
         """Continue with the reply of the proxy that holds the key; None if it did not reply."""
-        operation = self._table.get(key)
-        event = _event_of_owner_reply(reply)
+        operation = self._operations.get(key)
+        event = _owner_reply_event(reply)
         if operation is None or not self._advance(operation, event):
             return []
         if event is OperationEvent.OWNER_DONE and reply is not None and reply.response is not None:
@@ -204,10 +204,10 @@
 
     def on_response(self, key: str, response: ForwardResponse) -> list[Action[WaiterT]]:
         """Complete an operation with the backend's response."""
-        operation = self._table.get(key)
+        operation = self._operations.get(key)
         if operation is None or not self._advance(operation, OperationEvent.EXECUTED):
             return []
-        waiter, operation.executing_for = operation.executing_for, None
+        waiter, operation.executing_waiter = operation.executing_waiter, None
         actions: list[Action[WaiterT]] = [Respond(waiter, response)] if waiter is not None else []
         self._counts["served"] += 1
         return actions + self._complete(operation, response)
@@ -220,10 +220,10 @@
 
     def on_not_executed(self, key: str) -> list[Action[WaiterT]]:
         """Release the key, or execute the next waiting attempt: no backend executed the request."""
-        operation = self._table.get(key)
+        operation = self._operations.get(key)
         if operation is None or not self._advance(operation, OperationEvent.NOT_EXECUTED):
             return []
-        waiter, operation.executing_for = operation.executing_for, None
+        waiter, operation.executing_waiter = operation.executing_waiter, None
         actions: list[Action[WaiterT]] = [Reject(waiter)] if waiter is not None else []
         if operation.outcome_listeners:
             self._notify_listeners(operation)
@@ -234,10 +234,10 @@
 
     def on_execution_failed(self, key: str) -> list[Action[WaiterT]]:
         """Fail all attempts: the request may have been executed, and is never sent again."""
-        operation = self._table.get(key)
+        operation = self._operations.get(key)
         if operation is None or not self._advance(operation, OperationEvent.EXECUTION_FAILED):
             return []
-        waiter, operation.executing_for = operation.executing_for, None
+        waiter, operation.executing_waiter = operation.executing_waiter, None
         waiters = [waiter] if waiter is not None else []
         waiters += operation.waiters
         operation.waiters = []
@@ -249,7 +249,7 @@
 
     def on_outcome_query(self, key: str, claim_id: str, respond: Callable[[OperationReply], None]) -> None:
         """Report the outcome of a local claim to another proxy, at once or when it is known."""
-        operation = self._table.get(key)
+        operation = self._operations.get(key)
         if operation is None or operation.claim_id != claim_id:
             respond(OperationReply("unknown"))
             return
@@ -273,15 +273,15 @@
 
     def expire(self, now: float) -> None:
         """Forget operations older than the window, except those that are being executed."""
-        for key in list(self._table):
-            operation = self._table[key]
+        for key in list(self._operations):
+            operation = self._operations[key]
             if operation.started_at + self._window_s > now:
                 break
             if operation.stage is not OperationStage.RUNNING:
-                del self._table[key]
+                del self._operations[key]
 
 
-def _event_of_owner_reply(reply: OperationReply | None) -> OperationEvent:
+def _owner_reply_event(reply: OperationReply | None) -> OperationEvent:
     if reply is None:
         return OperationEvent.OWNER_UNREACHABLE
     match reply.state:
@@ -294,4 +294,4 @@
         case "running":
             return OperationEvent.OWNER_RUNNING
         case _:
-            return OperationEvent.OWNER_WITHOUT_ANSWER
+            return OperationEvent.OWNER_REPLY_UNRECOGNIZED
--- a/simulation/exchange/keyed_operations.py
+++ b/simulation/exchange/keyed_operations.py
@@ -59,7 +59,7 @@
         self.waiter = "t1"
 
     def local_claim(self) -> str:
-        operation = self.operations._table.get(KEY)
+        operation = self.operations._operations.get(KEY)
         return operation.claim_id if operation is not None else f"{INCARNATION}.1"
 
     def reach(self, state: KeyedOperationState) -> None:
@@ -130,7 +130,7 @@
         return []
 
     def state(self) -> KeyedOperationState:
-        operation = self.operations._table.get(KEY)
+        operation = self.operations._operations.get(KEY)
         if operation is None:
             return KeyedOperationState.NEW
         if operation.stage is OperationStage.RUNNING and operation.outcome_listeners:
--- a/simulation/exchange/peer_calls.py
+++ b/simulation/exchange/peer_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cometdoor.dataplane.attempt_replies import read_reply
+from cometdoor.dataplane.attempt_replies import classify_reply
 from cometdoor.host.exchange.peer_calls import PeerCallEvent, PeerCallState
 from cometdoor.host.exchange.table import Conclusion, ConnectionFate, TableCell
 from cometdoor.wire.call_control import CancelCall, Pong
@@ -120,7 +120,7 @@
         if not self.replies:
             return Conclusion.PENDING
         expect(len(self.replies), 1, "replies to one call")
-        result, response = read_reply(self.replies[0])
+        result, response = classify_reply(self.replies[0])
         if response is not None:
             return Conclusion.EXECUTED
         return Conclusion.NOT_EXECUTED if result.is_not_executed else Conclusion.MAY_HAVE_EXECUTED
--- a/simulation/exchange/planted_defects.py
+++ b/simulation/exchange/planted_defects.py
@@ -153,9 +153,9 @@
     """Executes a key here after it was released to another proxy."""
 
     def tell(operations: KeyedOperations[Any], operation: Any) -> None:
-        table, stage = dict(operations._table), operation.stage
+        table, stage = dict(operations._operations), operation.stage
         told(operations, operation)
-        operations._table.update(table)
+        operations._operations.update(table)
         operation.stage = stage
 
     told = KeyedOperations._notify_listeners
--- a/simulation/retry_budget.py
+++ b/simulation/retry_budget.py
@@ -59,7 +59,7 @@
             self.mesh,  # type: ignore[arg-type]
             self,  # type: ignore[arg-type]
             f"{self.number}.{self.incarnation}",
-            core_addresses=lambda: [LEADER_ADDRESS],
+            replica_addresses=lambda: [LEADER_ADDRESS],
             proxy_count=lambda: self.mesh.size,
             on_floor_changed=self._on_floor_changed,
             ratio=RATIO,
--- a/stories/budget/test_budget.py
+++ b/stories/budget/test_budget.py
@@ -59,10 +59,10 @@
 @test("a report that was in flight for too long is ignored")
 def _() -> None:
     leader = BudgetAllocator(RATIO, SLACK, WINDOW_S, 0.0)
-    before = leader.supply(SERVICE, 60.0)
+    before = leader.leasable_retries(SERVICE, 60.0)
     assert leader.allocate("a", 50.0, [LeaseDemand(SERVICE, 900.0, 5.0, 100.0)], 60.0) == [0.0]
     assert leader.allocate("a", -1.0, [LeaseDemand(SERVICE, 900.0, 5.0, 100.0)], 60.0) == [0.0]
-    assert leader.supply(SERVICE, 60.0) == before
+    assert leader.leasable_retries(SERVICE, 60.0) == before
 
 
 @test("an offer stays unusable though its report was lost, and a new incarnation starts without slack")
@@ -87,7 +87,7 @@
 
 @test("planted defect: proxies that use what they have offered exceed the budget")
 def _() -> None:
-    with mock.patch.object(share, "offered_for_s", lambda window_s: 0.0):
+    with mock.patch.object(share, "offer_hold_time_s", lambda window_s: 0.0):
         mesh = BudgetMesh(9, 1)
         for proxy in mesh.proxies:
             proxy.requests_per_s = 600.0 / 9
@@ -117,10 +117,10 @@
 @test("planted defect: incarnations that begin with slack exceed the budget, and others do not")
 def _() -> None:
     assert peak_after_restarts() <= 1.0
-    sound = BudgetShare.__init__
+    original_init = BudgetShare.__init__
 
-    def planted(self: BudgetShare, ratio: float, slack: float, window_s: float, now: float) -> None:
-        sound(self, ratio, slack, window_s, now - window_s)
+    def init_with_slack(self: BudgetShare, ratio: float, slack: float, window_s: float, now: float) -> None:
+        original_init(self, ratio, slack, window_s, now - window_s)
 
-    with mock.patch.object(BudgetShare, "__init__", planted):
+    with mock.patch.object(BudgetShare, "__init__", init_with_slack):
         assert peak_after_restarts() > 1.0
--- a/stories/dataplane/test_heartbeats.py
+++ b/stories/dataplane/test_heartbeats.py
@@ -7,19 +7,19 @@
 from cometdoor.wire.gossip import Backend
 
 
-def a_heartbeat(sequence: int, state: str = "ready") -> Heartbeat:
+def make_heartbeat(sequence: int, state: str = "ready") -> Heartbeat:
     return Heartbeat("pitch", "10.0.0.1:80", state, sequence, capacity=6)
 
 
 @test("a late heartbeat, or one of an earlier instance, changes nothing")
 def _() -> None:
-    seen: list[Backend | None] = []
-    lifecycle = BackendLifecycle(seen.append)
-    lifecycle.on_heartbeat("i-1", a_heartbeat(4))
-    lifecycle.on_heartbeat("i-1", a_heartbeat(3, "draining"))
-    lifecycle.on_heartbeat("i-2", a_heartbeat(1))
-    lifecycle.on_heartbeat("i-1", a_heartbeat(9))
-    assert [backend and (backend.instance, backend.state) for backend in seen] == [
+    published: list[Backend | None] = []
+    lifecycle = BackendLifecycle(published.append)
+    lifecycle.on_heartbeat("i-1", make_heartbeat(4))
+    lifecycle.on_heartbeat("i-1", make_heartbeat(3, "draining"))
+    lifecycle.on_heartbeat("i-2", make_heartbeat(1))
+    lifecycle.on_heartbeat("i-1", make_heartbeat(9))
+    assert [backend and (backend.instance, backend.state) for backend in published] == [
         ("i-1", "ready"),
         ("i-2", "ready"),
     ]
@@ -27,15 +27,21 @@
 
 @test("a draining backend stays so, and an unreachable one is ready with its next heartbeat")
 def _() -> None:
-    seen: list[Backend | None] = []
-    lifecycle = BackendLifecycle(seen.append)
-    lifecycle.on_heartbeat("i-1", a_heartbeat(1))
+    published: list[Backend | None] = []
+    lifecycle = BackendLifecycle(published.append)
+    lifecycle.on_heartbeat("i-1", make_heartbeat(1))
     lifecycle.on_unreachable()
-    lifecycle.on_heartbeat("i-1", a_heartbeat(2))
-    lifecycle.on_heartbeat("i-1", a_heartbeat(3, "draining"))
-    lifecycle.on_heartbeat("i-1", a_heartbeat(4))
+    lifecycle.on_heartbeat("i-1", make_heartbeat(2))
+    lifecycle.on_heartbeat("i-1", make_heartbeat(3, "draining"))
+    lifecycle.on_heartbeat("i-1", make_heartbeat(4))
     lifecycle.on_deregistered("i-1")
-    assert [backend and backend.state for backend in seen] == ["ready", "down", "ready", "draining", None]
+    assert [backend and backend.state for backend in published] == [
+        "ready",
+        "down",
+        "ready",
+        "draining",
+        None,
+    ]
 
 
 @test("a malformed heartbeat is rejected with every fault and its path")
--- a/stories/dataplane/test_outbound_requests.py
+++ b/stories/dataplane/test_outbound_requests.py
@@ -22,23 +22,23 @@
 def _() -> None:
     connection = Connection()
     assert connection.request is not None
-    table: dict[Any, OutboundRequest] = {}
-    outbound_request = table[connection] = OutboundRequest(
-        cast(Any, connection), connection.request, "", table.pop
+    outbound_requests: dict[Any, OutboundRequest] = {}
+    outbound_request = outbound_requests[connection] = OutboundRequest(
+        cast(Any, connection), connection.request, "", outbound_requests.pop
     )
     outbound_request.on_rejected(100.0)
     outbound_request.on_failed()
-    assert connection.statuses == [503] and not table
+    assert connection.statuses == [503] and not outbound_requests
 
 
 @test("a response to a request that the connection no longer has is not sent to its next request")
 def _() -> None:
     connection = Connection()
     assert connection.request is not None
-    table: dict[Any, OutboundRequest] = {}
-    outbound_request = table[connection] = OutboundRequest(
-        cast(Any, connection), connection.request, "", table.pop
+    outbound_requests: dict[Any, OutboundRequest] = {}
+    outbound_request = outbound_requests[connection] = OutboundRequest(
+        cast(Any, connection), connection.request, "", outbound_requests.pop
     )
     connection.request = cast(Any, SimpleNamespace())
     outbound_request.on_failed()
-    assert not connection.statuses and not table
+    assert not connection.statuses and not outbound_requests
--- a/stories/dataplane/test_service_client.py
+++ b/stories/dataplane/test_service_client.py
@@ -13,7 +13,7 @@
 from cometdoor.budget.share import BudgetShare
 from cometdoor.configuration.document import Route
 from cometdoor.dataplane.adaptive_throttling import AdaptiveThrottle
-from cometdoor.dataplane.attempt_replies import read_reply
+from cometdoor.dataplane.attempt_replies import classify_reply
 from cometdoor.dataplane.backend_endpoints import BackendEndpoint
 from cometdoor.dataplane.client_exchange import ClientExchange
 from cometdoor.dataplane.service_client import ServiceClient
@@ -43,17 +43,17 @@
         self.notifications.append("failed")
 
 
-class Hop:
+class ServiceClientHarness:
     """A service client on machine `a`, and an inbound proxy on `b` that answers with `reply`."""
 
     def __init__(self, loop: VirtualLoop, reply: Message | None = None) -> None:
         self.loop = loop
         self.received: list[Message] = []
         self.reply = reply
-        here, there = Process("a", "caller"), Process("b", "inbound proxy")
+        caller_process, proxy_process = Process("a", "caller"), Process("b", "inbound proxy")
         connections = PeerConnections(self.loop, lambda message, connection, call_id: None)
         self.inbound_proxy = PeerConnections(self.loop, self._receive)
-        self.loop.run_as(there, lambda: self.inbound_proxy.listen("b", 1))
+        self.loop.run_as(proxy_process, lambda: self.inbound_proxy.listen("b", 1))
         self.service_client = ServiceClient(
             "tents",
             self.loop,
@@ -66,7 +66,7 @@
         )
         backend = Backend("i-1", "tents", "b:80", "v1", 4, "ready")
         self.service_client.update_endpoints([BackendEndpoint(backend, "b:1")])
-        self._here = here
+        self._caller_process = caller_process
 
     def _receive(self, message: Message, connection: PeerConnection, call_id: int) -> None:
         self.received.append(message)
@@ -83,7 +83,7 @@
         def accept() -> None:
             self.service_client.accept(caller, request, route)
 
-        self.loop.run_as(self._here, accept)
+        self.loop.run_as(self._caller_process, accept)
         return caller
 
     def wait(self, seconds: float) -> None:
@@ -91,33 +91,33 @@
 
 
 @contextmanager
-def a_hop() -> Iterator[Hop]:
-    """Yield a hop in virtual time from the start.
+def virtual_harness() -> Iterator[ServiceClientHarness]:
+    """Yield a harness in virtual time from the start.
 
     A clock that is replaced later would run backwards for the decision module, by the uptime of the machine.
     """
     loop = VirtualLoop()
     with mock.patch.object(time, "monotonic", loop.time):
-        yield Hop(loop)
+        yield ServiceClientHarness(loop)
 
 
 @test("{kind}: an attempt that timed out while its connection was being established was not executed")
 def _(kind: str = each("idempotent", "non_idempotent")) -> None:
-    with a_hop() as hop:
-        hop.loop.partitions = {("a", "b"), ("b", "a")}
-        caller = hop.request(kind, remaining_ms=400.0)
-        hop.wait(0.39)
-        hop.loop.partitions = set()
-        hop.wait(1.0)
-    assert caller.notifications == ["rejected"] and not hop.received
+    with virtual_harness() as harness:
+        harness.loop.partitions = {("a", "b"), ("b", "a")}
+        caller = harness.request(kind, remaining_ms=400.0)
+        harness.wait(0.39)
+        harness.loop.partitions = set()
+        harness.wait(1.0)
+    assert caller.notifications == ["rejected"] and not harness.received
 
 
 @test("{kind}: an attempt that was sent and got no reply may have been executed")
 def _(kind: str = each("idempotent", "non_idempotent")) -> None:
-    with a_hop() as hop:
-        caller = hop.request(kind, remaining_ms=400.0)
-        hop.wait(1.0)
-    assert caller.notifications == ["failed"] and hop.received
+    with virtual_harness() as harness:
+        caller = harness.request(kind, remaining_ms=400.0)
+        harness.wait(1.0)
+    assert caller.notifications == ["failed"] and harness.received
 
 
 @test("a caller notified while the connection is being established learns that nothing was executed, {how}")
@@ -142,5 +142,5 @@
 
 @test("a failed attempt may have been executed, whatever outcome the reply names")
 def _(outcome: str = each("full", "cut", "moot", "connect_failed", "ok", "what", "reset")) -> None:
-    result, response = read_reply(AttemptFailed(outcome, 0.5))
+    result, response = classify_reply(AttemptFailed(outcome, 0.5))
     assert result.outcome not in NOT_EXECUTED and result.outcome is not Outcome.OK and response is None
--- a/tests/wire/test_golden_frames.py
+++ b/tests/wire/test_golden_frames.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from cometdoor.balancing.api import Outcome
-from cometdoor.dataplane.attempt_replies import read_reply
+from cometdoor.dataplane.attempt_replies import classify_reply
 from cometdoor.wire.frames import Frame, FrameDecoder, FrameError, Message, encode
 from cometdoor.wire.log_entries import Change
 from tests.golden import (
@@ -212,7 +212,7 @@
 
 @pytest.mark.parametrize("outcome", FIXTURE["outcomes_after_arrival"])
 def test_an_attempt_that_failed_at_the_backend_is_read_with_its_outcome_and_blame(outcome: str) -> None:
-    reading, response = read_reply(message_in("b", [outcome, 0.25]))
+    reading, response = classify_reply(message_in("b", [outcome, 0.25]))
     assert (reading.outcome.value, reading.blame, response) == (outcome, 0.25, None)
 
 
