--- a/cometdoor/budget/allocator.py
+++ b/cometdoor/budget/allocator.py
@@ -1,7 +1,7 @@
 """Leases of the retry budgets of all services, granted by the control plane's leader. No I/O.
 
-Leases are in memory only. A newly elected leader grants nothing until all grants of its predecessor have
-left the window; the proxies' local shares are not affected. Times are in seconds.
+Leases are kept in memory only. A newly elected leader grants nothing until all grants of its predecessor have
+left the window; the local shares of the proxies are not affected. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from cometdoor.budget.sliding_window import ExpiringMaximum
 from cometdoor.wire.budget import LeaseDemand
 
-GRANTED_SHARE_OF_FREE = 0.5  # of the free leasable retries, at most for one demand; later ones get the rest
+GRANTED_SHARE_OF_FREE = 0.5  # largest share of the free retries for one demand; the rest is for later ones
 
 
 @dataclass
 class LeasedAllocation:
-    """Last report of one incarnation of one proxy for one service, and its grants."""
+    """Last report of one proxy incarnation for one service, and the grants to it."""
 
     requests: float = 0.0  # in the window
     reported_at: float = -1e9
@@ -35,29 +35,29 @@
     grants: ExpiringMaximum = field(default_factory=ExpiringMaximum)  # retries per window
 
     def outstanding(self, now: float) -> float:
-        """Return the largest grant that may still be in use in some window that contains now.
+        """Return the largest grant that may still be in use in any window that contains `now`.
 
-        Grants replace one another, so that they do not add up.
+        Each grant replaces the previous one, so grants are not added up.
         """
         return self.grants.maximum(now)
 
 
 class BudgetAllocator:
-    """Grants leases of retry budgets while this replica leads."""
+    """Grants leases of retry budgets while this replica is the leader."""
 
     def __init__(self, ratio: float, slack: float, window_s: float, now: float) -> None:
-        """Begin without leases, at the time at which this replica began to lead.
+        """Start without leases, when this replica becomes the leader.
 
         Parameters
         ----------
         ratio : float
             Retries that the budget allows for each request.
         slack : float
-            Retries per window that it allows in addition.
+            Retries per window that the budget allows in addition.
         window_s : float
-            Length of the window, seconds.
+            Length of the window in seconds.
         now : float
-            Time of the election on this process's monotonic clock, seconds.
+            Time of the election in seconds, on this process's monotonic clock.
         """
         self._ratio, self._slack, self._window_s = ratio, slack, window_s
         self._grants_from = now + quarantine_s(window_s)
@@ -74,20 +74,20 @@
         incarnation : str
             Incarnation of the proxy.
         leader_time_s : float
-            Leader's time in the last grant that the proxy received; it limits the report's age.
+            Leader's time in the last grant that the proxy received, which bounds the age of the report.
         demands : Sequence[LeaseDemand]
-            Its demands and offers, at most one for each service.
+            Demands and offers of the proxy, at most one for each service.
         now : float
-            Time on the same clock, seconds.
+            Current time in seconds, on the clock of the election time.
 
         Returns
         -------
         list[float]
-            Retries per window that are granted, for each demand in turn.
+            Granted retries per window, for each demand in turn.
         """
         self._sweep(now)
         if not now - MAX_REPORT_AGE_S <= leader_time_s <= now:
-            return [0.0] * len(demands)  # the report may have been in flight for any time
+            return [0.0] * len(demands)  # the report may have been in flight for an unknown time
         return [self._allocate(incarnation, demand, now) for demand in demands]
 
     def _allocate(self, incarnation: str, demand: LeaseDemand, now: float) -> float:
@@ -112,7 +112,7 @@
         return amount
 
     def leasable_retries(self, service: str, now: float) -> float:
-        """Return the retries per window that may be leased of one service's budget."""
+        """Return the retries per window that may be leased from one service's budget."""
         allocations = self._allocations.get(service, {}).values()
         requests = sum(
             allocation.requests
@@ -127,7 +127,7 @@
         return POOLED_SHARE * self._ratio * requests + POOLED_SLACK_SHARE * self._slack + offered
 
     def _sweep(self, now: float) -> None:
-        """Remove proxies that no longer report, once per window."""
+        """Remove proxies that no longer report; runs once per window."""
         if now < self._swept_at + self._window_s:
             return
         self._swept_at = now
--- a/cometdoor/budget/lease_client.py
+++ b/cometdoor/budget/lease_client.py
@@ -1,4 +1,4 @@
-"""The budget shares of one proxy, by service, and their reports to the control plane's leader."""
+"""Budget shares of one proxy by service, and reports on them to the control plane's leader."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from cometdoor.wire.frames import Message
 from cometdoor.wire.peer_connection import PeerError
 
-TICK_INTERVAL_S = 0.25  # between updates of the floors
-SHORTAGE_REPORT_INTERVAL_S = 1.0  # while the proxy is short of budget, or has a grant
+TICK_INTERVAL_S = 0.25  # interval of updates of the floors
+SHORTAGE_REPORT_INTERVAL_S = 1.0  # while the proxy is short of budget or has a grant
 REPORT_INTERVAL_S = 3.0  # otherwise
 
 
 class BudgetShares:
-    """Holds a `BudgetShare` for each service, and exchanges demands for leases with the leader."""
+    """Keeps a `BudgetShare` for each service, and exchanges demands and grants with the leader."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         slack: float,
         window_s: float,
     ) -> None:
-        """Start the timer of the reports.
+        """Start the timer of updates and reports.
 
         Parameters
         ----------
@@ -44,17 +44,17 @@
         incarnation : str
             Incarnation of this process.
         replica_addresses : Callable[[], list[str]]
-            Returns the replicas' internal addresses, the likeliest leader first.
+            Returns the internal addresses of the replicas, the probable leader first.
         proxy_count : Callable[[], int]
             Returns the number of known proxies.
         on_floor_changed : Callable[[str, float], None]
-            Called with a service and its new floor, see `BudgetShare.floor`.
+            Called with a service and its new floor; see `BudgetShare.floor`.
         ratio : float
             Retries that the budget of a service allows for each request.
         slack : float
-            Retries per window that it allows in addition.
+            Retries per window that the budget allows in addition.
         window_s : float
-            Length of the window, seconds.
+            Length of the window in seconds.
         """
         self._loop, self._connections, self._incarnation = loop, connections, incarnation
         self._replica_addresses = replica_addresses
@@ -63,19 +63,19 @@
         self._ratio, self._slack, self._window_s = ratio, slack, window_s
         self._shares: dict[str, BudgetShare] = {}
         self._reported_floors: dict[str, float] = {}  # by service
-        self._leader_time_s = -1.0  # time in the leader's last grant; -1: none yet
+        self._leader_time_s = -1.0  # time in the last grant of the leader; -1 without one
         self._leader = ""
         self._reported_at = 0.0
         self._timer = loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def for_service(self, service: str) -> BudgetShare:
-        """Return the share of a service; it is created at the first call."""
+        """Return the share of a service, which is created at the first call."""
         share = self._shares.get(service)
         if share is None:
             share = self._shares[service] = BudgetShare(
                 self._ratio, self._slack, self._window_s, self._loop.time()
             )
-            self._reported_floors[service] = 0.0  # as the decision module of a new service assumes
+            self._reported_floors[service] = 0.0  # initial value in the decision module of a new service
         return share
 
     def stop(self) -> None:
@@ -83,7 +83,7 @@
         self._timer.cancel()
 
     def report(self) -> dict[str, float]:
-        """Return the floors, by service, that leases, offers or repeated calls have changed; for the log."""
+        """Return the floors that leases, offers or repeated calls have changed, by service, for the log."""
         return {
             service: round(floor, 1)
             for service, floor in self._reported_floors.items()
@@ -124,7 +124,7 @@
         peer = self._leader or (replica_addresses[0] if replica_addresses else "")
         if not demands or not peer:
             return
-        self._publish_floors(now)  # the proxy stops using an offer before the leader learns of it
+        self._publish_floors(now)  # the proxy must stop using an offer before the leader receives it
 
         def on_reply(reply: Message | PeerError) -> None:
             match reply:
--- a/cometdoor/budget/sliding_window.py
+++ b/cometdoor/budget/sliding_window.py
@@ -1,17 +1,17 @@
-"""Sums and maxima over a sliding window of time."""
+"""Sums over a sliding window, and maxima of amounts that expire."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-SLOT_S = 0.5  # resolution of a sum in time
+SLOT_S = 0.5  # time resolution of a sum
 
 
 class SlidingWindowSum:
-    """A sum over a sliding window of `window_s` seconds.
+    """Sum of amounts over a sliding window of `window_s` seconds.
 
-    Amounts are added up in slots of `SLOT_S`; a slot counts in full while any part of it is in the window.
+    Amounts are accumulated in slots of `SLOT_S`; a slot counts in full while any part of it is in the window.
     """
 
     def __init__(self, window_s: float) -> None:
@@ -38,10 +38,10 @@
 
 
 class ExpiringMaximum:
-    """The largest of some amounts that have not expired."""
+    """Maximum of the amounts that have not expired."""
 
     def __init__(self) -> None:
-        self._amounts: deque[_Amount] = deque()  # in the order of expiry
+        self._amounts: deque[_Amount] = deque()  # ordered by expiry
 
     def add(self, amount: float, expires_at: float) -> None:
         """Add an amount; `expires_at`, in seconds, must not decrease from call to call."""
--- a/cometdoor/dataplane/__init__.py
+++ b/cometdoor/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The mesh's data plane: inbound proxy beside one backend, outbound proxy for callers on the same machine."""
+"""The data plane of the mesh: inbound proxy of the local backend, outbound proxy for local callers."""
--- a/cometdoor/dataplane/adaptive_throttling.py
+++ b/cometdoor/dataplane/adaptive_throttling.py
@@ -1,14 +1,16 @@
-"""Adaptive throttling of request classes that mostly find no slot. No I/O; callers pass the time, in ms.
+"""Adaptive throttling of request classes that are mostly rejected.
 
-Guards against wasted executions. An execution that makes several calls to an overloaded service needs slots
-for all of them: with half of them it fails just as well. The admitted share falls while inbound proxies
-reject too many requests, and grows by steps that double while they reject hardly any. Executions that fail
-for other reasons count as well, but only while requests contend for the service's slots: with free capacity a
-failed execution takes nothing from other requests.
+No I/O; callers pass the time, in ms.
+
+The purpose is to avoid wasted executions. An execution that makes several calls to an overloaded service
+needs a slot for each of them; if only half of them get one, it fails and its work is wasted. The admitted
+share falls while inbound proxies reject too many requests, and grows in steps that double while they reject
+hardly any. Executions that fail for other reasons count as well, but only while requests contend for the
+service's slots: with free capacity a failed execution takes nothing from other requests.
 
 Admission by a multiple of the accepted requests (Site Reliability Engineering, ch. 21, "client-side
-throttling") was tried first: with a factor small enough to spare work it took tens of seconds to admit all
-again, and an overloaded day lost a tenth of its value by it.
+throttling") recovers too slowly: with a factor small enough to avoid wasted work it takes tens of seconds to
+admit all requests again, which cost an overloaded day a tenth of its value.
 """
 
 from __future__ import annotations
@@ -18,28 +20,28 @@
 
 from cometdoor.balancing.decaying_average import DecayingAverage
 
-WINDOW_MS = 500.0  # between adjustments
-# Windows that count: a dozen executions of a busy class at one proxy. With 3 s of them all requests were
-# retried 3 s later.
+WINDOW_MS = 500.0  # length of a window, and interval between adjustments of the admitted share
+# Number of windows that are evaluated: about a dozen executions of a busy class at one proxy. With windows of
+# 3 s in total, all requests were retried 3 s later.
 WINDOW_COUNT = 3
-# A window counts for this many requests at most. Without the limit, a surge outweighed for ten seconds after
-# its end the few requests that were admitted and all served, and more and more requests were throttled.
+# A window counts for at most this many requests. Without the limit, a surge outweighed the few requests that
+# were admitted after it, all of them served, for ten seconds, and more and more requests were throttled.
 MAX_WINDOW_WEIGHT = 16.0
-DECREASE_BELOW_SUCCESS_RATE = 0.75  # below it the admitted share falls
-INCREASE_ABOVE_SUCCESS_RATE = 0.85  # above it the admitted share grows
-DECREASE_FACTOR = 0.9  # of the admitted share, at each adjustment
-INCREASE_STEP_MIN, INCREASE_STEP_MAX = 0.05, 0.2  # of all requests: the first step up and the largest
-MIN_ADMITTED_SHARE = 0.1  # of the requests: always admitted, to notice when slots are free again
-PRIOR_COUNT = 8.0  # successes that are assumed beforehand: a few chance failures are no sign of overload
-CONTENTION_BELOW_ACCEPTANCE_RATE = 0.95  # if fewer of a class find a slot, requests contend for the slots
-RETRY_AFTER_MAX_SHARE = 0.33  # of the remaining time: clients follow no longer backoff than a third of it
-REJECTION_RATE_OF_MAX_RETRY_AFTER = 0.3  # from this rejection rate on the backoff has its maximum
-JITTER_MIN = 0.6  # backoffs are spread from this share to 1, so that not all retry at once
+DECREASE_BELOW_SUCCESS_RATE = 0.75  # the admitted share falls below this success rate
+INCREASE_ABOVE_SUCCESS_RATE = 0.85  # the admitted share grows above this success rate
+DECREASE_FACTOR = 0.9  # multiplies the admitted share at each decrease
+INCREASE_STEP_MIN, INCREASE_STEP_MAX = 0.05, 0.2  # first and largest increase of the admitted share
+MIN_ADMITTED_SHARE = 0.1  # share of requests that is always admitted, to detect free slots
+PRIOR_COUNT = 8.0  # assumed prior successes, so that a few chance failures do not count as overload
+CONTENTION_BELOW_ACCEPTANCE_RATE = 0.95  # requests contend for slots if a smaller share of them gets one
+RETRY_AFTER_MAX_SHARE = 0.33  # share of the remaining time; clients wait for at most a third of it
+REJECTION_RATE_OF_MAX_RETRY_AFTER = 0.3  # rejection rate from which on the backoff has its maximum
+JITTER_MIN = 0.6  # random factor from this to 1, so that clients do not all retry at once
 # Requests within this time of the first one of a group most likely come from one execution: they are admitted
-# or throttled together. (When the time was measured from the previous request, a surge at one proxy formed a
-# group without end, and all of it was shed.)
+# or throttled together. The time is not measured from the previous request: a surge at one proxy would then
+# form an endless group, and all of it would be shed.
 GROUP_WINDOW_MS = 3.0
-MIN_GROUP_SIZE = 1.3  # mean size; below it requests coincide by chance
+MIN_GROUP_SIZE = 1.3  # mean group size below which requests are taken to coincide by chance
 # Below this success rate a retry mostly adds to the load that made the first execution fail.
 RETRY_MIN_SUCCESS_RATE = 0.75
 
@@ -51,7 +53,7 @@
         self._windows: deque[list[float]] = deque()  # [window, successes, total], oldest first
 
     def add(self, success: bool, now: float) -> None:
-        """Count a success or failure."""
+        """Count one success or failure in the current window."""
         window = now // WINDOW_MS
         if not self._windows or self._windows[-1][0] != window:
             self._windows.append([window, 0.0, 0.0])
@@ -59,7 +61,7 @@
         self._windows[-1][2] += 1.0
 
     def rate(self, now: float) -> float:
-        """Return the success rate, from 0 to 1; windows that are too old are removed."""
+        """Return the success rate, from 0 to 1, and remove windows that are too old."""
         while self._windows and self._windows[0][0] <= now // WINDOW_MS - WINDOW_COUNT:
             self._windows.popleft()
         total_weight = total = PRIOR_COUNT
@@ -74,22 +76,22 @@
     """Decides which requests of one class this proxy admits, and when throttled ones should be retried."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.admitted_share = 1.0  # of the requests, from MIN_ADMITTED_SHARE to 1
+        self.admitted_share = 1.0  # share of requests admitted, from MIN_ADMITTED_SHARE to 1
         self._rng = rng
         self._acceptance = RecentSuccessRate()  # success: the request was given a slot; failure: rejected
         self._execution_success = RecentSuccessRate()  # success: a status below 500
         self._step = INCREASE_STEP_MIN
         self._next_adjustment_ms = 0.0
-        self._group_started_ms = -GROUP_WINDOW_MS - 1.0  # its first request
+        self._group_started_ms = -GROUP_WINDOW_MS - 1.0  # first request of the current group
         self._group_admitted = True
         self.group = 0  # number of the latest request group
-        # Requests that joined a group, less those in a window of equal length after it: the latter came by
-        # chance, and about as many of the former did.
+        # Requests that joined a group, minus those in a window of equal length after it: the latter came by
+        # chance, so about as many of the former did too.
         self._excess_joins = DecayingAverage()
-        self._previous_group_started_ms = -GROUP_WINDOW_MS - 1.0  # first request of the group before
+        self._previous_group_started_ms = -GROUP_WINDOW_MS - 1.0  # first request of the previous group
 
     def admit(self, now: float) -> bool:
-        """Return whether a request is admitted; the requests of one group are treated alike."""
+        """Return whether a request is admitted; all requests of one group are treated alike."""
         if now >= self._next_adjustment_ms:
             self._next_adjustment_ms = now + WINDOW_MS
             self._adjust(now)
@@ -113,8 +115,8 @@
     def group_size(self, now: float) -> float:
         """Return the mean size of a request group, without the requests that coincide by chance.
 
-        Guards against a surge that is taken for the calls of one execution: inbound proxies value the
-        requests of large groups less, so the whole surge was shed, retried, and became worse.
+        Without this correction a surge is mistaken for the calls of one execution. Inbound proxies value the
+        requests of large groups less, so the whole surge was shed and retried, which made it worse.
         """
         return 1.0 + max(self._excess_joins.mean(0.0, PRIOR_COUNT, now), 0.0)
 
@@ -134,10 +136,10 @@
             )
 
     def backoff_ms(self, min_backoff_ms: float, remaining_ms: float, now: float) -> float:
-        """Return after how many ms a rejected request should be retried: later as more requests are rejected.
+        """Return the backoff of a rejected request in ms; it is longer the more requests are rejected.
 
-        Guards against a retry during the same surge, which is rejected with no time left for another one.
-        Costs latency where the surge is over earlier.
+        A retry during the same surge would be rejected again with no time left for another one. The longer
+        backoff costs latency if the surge ends earlier.
 
         Parameters
         ----------
@@ -158,7 +160,7 @@
         self._acceptance.add(accepted, now)
 
     def on_attempt_ended(self, succeeded: bool, now: float) -> None:
-        """Count an attempt for which the backend responded; `succeeded`: with a status below 500."""
+        """Count an attempt that the backend responded to; `succeeded` means a status below 500."""
         self._execution_success.add(succeeded, now)
 
     def may_retry(self, now: float) -> bool:
--- a/cometdoor/dataplane/attempt_replies.py
+++ b/cometdoor/dataplane/attempt_replies.py
@@ -10,8 +10,8 @@
 from cometdoor.wire.frames import Message
 from cometdoor.wire.peer_connection import PeerError
 
-# Outcomes that an inbound proxy may name in AttemptFailed: the request reached its backend. Any other text
-# counts as ERROR, so that a contradictory reply can't pass for "not executed".
+# Valid outcomes in AttemptFailed, all of which mean that the request may have reached its backend. Any other
+# text counts as ERROR, so that a contradictory reply is not taken for "not executed".
 POSSIBLY_EXECUTED_OUTCOMES = {
     outcome.value: outcome for outcome in Outcome if outcome is not Outcome.OK and outcome not in NOT_EXECUTED
 }
--- a/cometdoor/dataplane/backend_endpoints.py
+++ b/cometdoor/dataplane/backend_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint list of one service, converted for the decision module and its host."""
+"""Endpoint list of one service, in the form that the decision module and its host use."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from cometdoor.host.address import Address
 from cometdoor.wire.gossip import Backend
 
-SLOW_START_MS = 3_000.0  # assumed duration of slow start; a backend reports only how much of it remains
+SLOW_START_MS = 3_000.0  # assumed duration of slow start; a backend reports only the remaining time
 
 
 @dataclass(frozen=True, slots=True)
 class BackendEndpoint:
-    """A backend, and the inbound proxy that forwards requests to it."""
+    """A backend and the address of the inbound proxy that forwards requests to it."""
 
     backend: Backend
     proxy_address: str  # internal address of that proxy, "ip:port"
@@ -24,14 +24,14 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """A full endpoint list for the decision module; addresses of the inbound proxies, by backend instance."""
+    """A full endpoint list for the decision module, and inbound proxies' addresses by backend instance."""
 
     event: api.EndpointsChanged
     addresses: dict[str, Address]
 
 
 class EndpointList:
-    """The current endpoints of a service, and when the slow start of each began."""
+    """The current endpoints of a service and the times at which their slow start began."""
 
     def __init__(self) -> None:
         self._endpoints: tuple[BackendEndpoint, ...] = ()
@@ -41,7 +41,7 @@
         return len(self._endpoints)
 
     def update(self, endpoints: Sequence[BackendEndpoint], now: float) -> EndpointUpdate | None:
-        """Replace the list, at `now` in milliseconds; return None if it is the same as before."""
+        """Replace the endpoints; return None if they did not change. `now` is in milliseconds."""
         if tuple(endpoints) == self._endpoints:
             return None
         self._endpoints = tuple(endpoints)
@@ -65,9 +65,9 @@
         return EndpointUpdate(api.EndpointsChanged(EndpointListKind.FULL, tuple(servers)), addresses)
 
     def _slow_start_started_at_ms(self, backend: Backend, now: float) -> float:
-        """Return when the backend's slow start began, by its first report; 0: it is not in slow start.
+        """Return when the backend's slow start began, by its first report; 0 if it is not in slow start.
 
-        Later reports are ignored: each would move the start, and look like a restart.
+        Later reports are ignored: each would move the start, which looks like a restart.
         """
         if backend.instance not in self._started_at_ms:
             remaining_ms = backend.slow_start_remaining_s * 1000.0
--- a/cometdoor/dataplane/backend_health.py
+++ b/cometdoor/dataplane/backend_health.py
@@ -1,4 +1,4 @@
-"""Health checks of a backend that has accepted no connection, until it answers one."""
+"""Health checks of an unreachable backend, repeated until one succeeds."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from cometdoor.http.messages import Response
 from cometdoor.wire.gossip import Backend
 
-# Interval between health checks, from the first to the longest. The first is short, since the backend may be
-# back before its next heartbeat; then it doubles, since one that is gone for good is not worth many checks.
+# First and longest interval between health checks. The first one is short, since the backend may recover
+# before its next heartbeat; then the interval doubles, to limit the checks of a backend that never recovers.
 PROBE_INTERVAL_MIN_S, PROBE_INTERVAL_MAX_S = 0.3, 5.0
 log = structlog.get_logger()
 
@@ -25,17 +25,17 @@
     """Callbacks for changes of the backend's reachability."""
 
     def on_unreachable(self) -> None:
-        """Handle that a connection to the backend failed."""
+        """Handle a failed connection to the backend."""
 
     def on_recovered(self) -> None:
-        """Handle that the backend answered a health check."""
+        """Handle a successful health check of the backend."""
 
 
 class BackendHealthProbe:
     """Checks the health of the backend while its state is ``down``, at intervals that double.
 
-    It has recovered once it answers 200 with the instance id of its heartbeats: another process at its
-    address does not count.
+    The backend has recovered once it answers 200 with the instance id of its heartbeats. A response of
+    another process at its address does not count.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._last_exchange: BackendExchange | None = None
 
     def update_backend(self, backend: Backend | None, address: Address) -> None:
-        """Apply the backend's current state; `address` is where it listens."""
+        """Apply the backend's current state; `address` is the one at which it listens."""
         self._backend = backend
         self._address = address
         if backend is None:
@@ -88,7 +88,7 @@
 
         payload = b"GET %s HTTP/1.1\r\nHost: %s\r\n\r\n" % (self.path.encode(), backend.address.encode())
         if self._last_exchange is not None:
-            self._last_exchange.abort()  # no response came within the interval; no effect after a response
+            self._last_exchange.abort()  # no response within the interval; has no effect after a response
         self._last_exchange = BackendExchange(
             lambda: payload, on_response, correlate=correlate_probe_response
         )
--- a/cometdoor/dataplane/backend_responses.py
+++ b/cometdoor/dataplane/backend_responses.py
@@ -1,4 +1,4 @@
-"""Responses of a backend: which request each belongs to, and whether that request was executed."""
+"""Classification of backend responses: which request each belongs to, and whether that was executed."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 def header_value(response: Response, name: bytes) -> bytes:
-    """Return the first value of a header field, `name` in lower case; empty if there is none."""
+    """Return the first value of a header field, empty if there is none; `name` is in lower case."""
     return next((value for other, value in response.headers if other.lower() == name), b"")
 
 
 def is_success(status: int) -> bool:
-    """Whether the status is of class 2xx (RFC 9110, 15.3)."""
+    """Return whether the status is of class 2xx (RFC 9110, 15.3)."""
     return 200 <= status < 300
 
 
 def correlate_response(response: Response, attempt_id: bytes) -> ResponseCorrelation:
-    """Return whether a response belongs to the attempt with that id.
+    """Determine whether a response belongs to the attempt with the given id.
 
     Every response of a backend carries the attempt id of its request exactly once. A response is ambiguous if
-    it has no id or different ones, if it has a Content-Encoding (backends send none, so something changed the
-    body), or if it is a success without a seal, or one that claims not to have been executed: neither proves
-    that this backend executed the request.
+    it has no id or several different ones, if it has a Content-Encoding (backends send none, so an
+    intermediary changed the body), or if it is a success without a seal or with a claim that the request was
+    not executed: neither proves that this backend executed the request.
     """
     response_attempt_id: bytes | None = None
     is_encoded = is_sealed = is_not_executed = False
-    for name, value in response.headers:  # one pass: this runs for each response
+    for name, value in response.headers:  # a single pass, as this runs for every response
         field = name.lower()
         if field == ATTEMPT_ID_HEADER:
             if response_attempt_id is not None and response_attempt_id != value:
@@ -54,7 +54,7 @@
 
 
 def correlate_probe_response(response: Response) -> ResponseCorrelation:
-    """Return whether a response belongs to a health check: one with an attempt id belongs to an attempt."""
+    """Determine whether a response belongs to a health check, not to an attempt: it has no attempt id."""
     return (
         ResponseCorrelation.OTHER_REQUEST
         if header_value(response, ATTEMPT_ID_HEADER)
@@ -65,9 +65,8 @@
 def classify_response(response: Response) -> Outcome:
     """Return the outcome of an attempt by the backend's response.
 
-    A response with the header ``Cometdoor-Not-Executed``, or with status 421 (RFC 9110, 15.5.20), says that
-    the request was not executed. Otherwise a status below 500 is a success to the balancer, any other a
-    failure.
+    The header ``Cometdoor-Not-Executed`` or status 421 (RFC 9110, 15.5.20) means that the request was not
+    executed. Otherwise a status below 500 is a success for the balancer, and any other a failure.
     """
     if header_value(response, NOT_EXECUTED_HEADER) or response.status == 421:
         return Outcome.REJECTED
--- a/cometdoor/dataplane/client_exchange.py
+++ b/cometdoor/dataplane/client_exchange.py
@@ -1,4 +1,4 @@
-"""One request at the host of the decision module, from its acceptance to its final response."""
+"""One client request at the host of the decision module, from acceptance to final response."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def remaining_ms(request: ClientRequest, now: float) -> float:
-    """Return for how many milliseconds the request's client still waits; `now` in milliseconds."""
+    """Return the time until the client's deadline; all times are in milliseconds."""
     return max(request.remaining_ms - (now - request.arrived_at * 1000.0), 0.0)
 
 
 class ClientExchange:
     """Listener of the host for one request: reports the final response to the caller, and counts it.
 
-    Guards against a report of "not executed" for a request that may have been. The decision module rejects an
-    idempotent request when it abandons it, since a retry does no harm; but to a caller a rejection says that
-    nothing was executed. Where an attempt may have been executed, the caller gets the backend's own failure
-    response if there is one, and else a report that the outcome is unknown.
+    It never reports "not executed" for a request that may have been executed. The decision module rejects an
+    idempotent request when it abandons it, since a retry is harmless; but to the caller a rejection means
+    that nothing was executed. If an attempt may have been executed, the caller gets the backend's failure
+    response if there is one, and otherwise a failure with an unknown outcome.
     """
 
     __slots__ = ("caller", "last_failure", "pending_calls", "possible_executions", "request", "throttle")
@@ -33,12 +33,12 @@
         self.caller = caller
         self.request = request
         self.throttle = throttle
-        self.possible_executions = 0  # attempts sent, less those that are known not to have been executed
-        self.last_failure: ForwardResponse | None = None  # the latest response of status 500 or above
-        self.pending_calls: list[PendingCall] = []  # of its attempts
+        self.possible_executions = 0  # attempts sent, minus those known not to have been executed
+        self.last_failure: ForwardResponse | None = None  # latest response with a status of 500 or above
+        self.pending_calls: list[PendingCall] = []  # one for each attempt
 
     def on_attempt_ended(self, result: AttemptResult, response: ForwardResponse | None) -> None:
-        """Count the end of one attempt at the request."""
+        """Record the end of one attempt, and its response if that is a failure."""
         self.possible_executions -= result.is_not_executed
         if response is not None and response.status >= 500:
             self.last_failure = response
@@ -51,8 +51,8 @@
     def _cancel_unsent(self) -> None:
         """Cancel the attempts that were not sent yet, such as those whose connection is still being opened.
 
-        Guards against an attempt that counts as possibly executed though it was never sent. So it is called
-        before the caller is notified.
+        This is called before the caller is notified, so that an attempt that was never sent does not count as
+        possibly executed.
         """
         if self.possible_executions:
             self.possible_executions -= sum(
@@ -60,7 +60,7 @@
             )
 
     def on_rejected(self, retry_after_ms: float) -> None:
-        """Reject the request with a backoff, or report a failure if it may have been executed."""
+        """Reject the request with a backoff; report a failure instead if it may have been executed."""
         now = now_ms()
         self._cancel_unsent()
         if self.possible_executions:
@@ -73,7 +73,7 @@
         )
 
     def on_failed(self) -> None:
-        """Report a failure, or reject the request if nothing was executed."""
+        """Report a failure; reject the request instead if nothing was executed."""
         self._cancel_unsent()
         if self.possible_executions or self.last_failure is not None:
             self._report_failure()
@@ -88,7 +88,7 @@
 
 
 class ForwardedAttempt:
-    """The host's handle of one attempt that is a call to an inbound proxy."""
+    """Handle by which the host observes and cancels an attempt that was sent to an inbound proxy."""
 
     __slots__ = ("call", "exchange")
 
@@ -97,11 +97,11 @@
         self.exchange = exchange
 
     def stage(self) -> AttemptStage:
-        """Return how far the attempt has come, as this end sees it."""
+        """Return how far the attempt has progressed, as far as this process knows."""
         if self.call.was_sent():
             return AttemptStage.WRITTEN
         return AttemptStage.CONNECTED if self.call.connection.is_open else AttemptStage.CONNECTING
 
     def abort(self) -> None:
-        """Cancel the attempt's call."""
+        """Cancel the attempt; it does not count as possibly executed if it was never sent."""
         self.exchange.possible_executions -= self.call.cancel()
--- a/cometdoor/dataplane/heartbeats.py
+++ b/cometdoor/dataplane/heartbeats.py
@@ -1,4 +1,4 @@
-"""API for the local backend (heartbeats, drain notices, deregistration), and the backend's lifecycle."""
+"""API for the local backend (heartbeats, drain notices, deregistration), and its lifecycle state."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 log = structlog.get_logger()
 LIFECYCLE_STATES = ("ready", "draining")
-MAX_FORMER_INSTANCES = 64  # earlier instances, whose late heartbeats are ignored
+MAX_FORMER_INSTANCES = 64  # remembered to ignore their late heartbeats
 
 
 @dataclass(frozen=True)
 class Heartbeat(CheckedModel):
-    """Body of a heartbeat, with the keys of the users' pages."""
+    """Body of a heartbeat; its keys are part of the public API."""
 
     service: str
     address: str  # "ip:port" at which the backend serves requests
     lifecycle_state: str = aliased("lifecycle-state")  # one of LIFECYCLE_STATES
-    call_sequence: int = aliased("call-sequence")  # grows with each heartbeat of one instance
+    call_sequence: int = aliased("call-sequence")  # increases with each heartbeat of an instance
     capacity: int = 1  # concurrency slots
     zone: str = ""
     revision: str = ""
@@ -42,7 +42,7 @@
     Raises
     ------
     SettingsError
-        With every problem found.
+        The body is malformed or has invalid values; the error lists every problem.
     """
     try:
         content = json.loads(body)
@@ -72,12 +72,12 @@
 class BackendLifecycle:
     """Current state of the local backend, from heartbeats and health checks.
 
-    A backend process has an instance id of its own; a restarted one replaces the former instance.
+    Each backend process has its own instance id; a restarted backend replaces the former instance.
 
     Parameters
     ----------
     on_changed
-        Called with the backend's new state; None: it has deregistered.
+        Called with the backend's new state, or None once it has deregistered.
     """
 
     def __init__(self, on_changed: Callable[[Backend | None], None]) -> None:
@@ -87,13 +87,13 @@
         self._former_instances: dict[str, None] = {}  # oldest first
 
     def on_heartbeat(self, instance: str, heartbeat: Heartbeat) -> None:
-        """Apply a heartbeat, unless it is out of order or of a former instance."""
+        """Apply a heartbeat, unless it is out of order or from a former instance."""
         if instance in self._former_instances:
             return
         if self.current is not None and self.current.instance != instance:
             self._retire(self.current.instance)
         elif heartbeat.call_sequence <= self._last_sequence and self.current is not None:
-            return  # it was overtaken by a later one
+            return  # a later heartbeat has arrived already
         self._last_sequence = heartbeat.call_sequence
         state = heartbeat.lifecycle_state
         if (
@@ -101,7 +101,7 @@
             and self.current.instance == instance
             and self.current.state == "draining"
         ):
-            state = "draining"  # a drain can't be undone
+            state = "draining"  # draining is irreversible
         backend = Backend(
             instance,
             heartbeat.service,
@@ -111,7 +111,7 @@
             state,
             round(heartbeat.slow_start_remaining_s, 1),
         )
-        # Slow start counts from the instance's first heartbeat; an update would only publish a new record.
+        # Slow start counts from the instance's first heartbeat; updates would only publish needless records.
         if self.current is not None and self.current.instance == instance:
             backend = msgspec.structs.replace(
                 backend, slow_start_remaining_s=self.current.slow_start_remaining_s
@@ -121,14 +121,14 @@
             self._on_changed(backend)
 
     def on_deregistered(self, instance: str) -> None:
-        """Remove the backend if it is that instance, and ignore that instance's heartbeats from now on."""
+        """Remove the backend if it is this instance, and ignore later heartbeats of the instance."""
         self._retire(instance)
         if self.current is not None and self.current.instance == instance:
             self.current = None
             self._on_changed(None)
 
     def on_unreachable(self) -> None:
-        """Mark a ready backend as down: it accepts no connection, and gets no requests until it recovers."""
+        """Mark a ready backend as down: connections fail, and it gets no requests until it recovers."""
         if self.current is not None and self.current.state == "ready":
             self.current = msgspec.structs.replace(self.current, state="down")
             self._on_changed(self.current)
@@ -146,7 +146,7 @@
 
 
 class BackendApi:
-    """Handler of the frontend that the local backend calls: heartbeats and deregistration."""
+    """Request handler for the local backend: heartbeats and deregistration."""
 
     is_ready = True
 
@@ -154,7 +154,7 @@
         self._lifecycle = lifecycle
 
     def accept(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Dispatch on method and path, and respond."""
+        """Dispatch a request by method and path, and respond to it."""
         match (request.method, path_segments(request)):
             case (b"POST", ("Instances.Heartbeat", instance)):
                 try:
@@ -174,4 +174,4 @@
                 respond_error(404, "there is no such call here", connection)
 
     def on_client_disconnected(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Do nothing: every call is answered at once."""
+        """Do nothing: every request is answered immediately."""
--- a/cometdoor/dataplane/inbound_proxy.py
+++ b/cometdoor/dataplane/inbound_proxy.py
@@ -1,6 +1,6 @@
-"""Inbound proxy: admits the requests of all proxies for the one backend beside it, and forwards them.
+"""Inbound proxy: admits requests of all outbound proxies for the local backend, and forwards them.
 
-It uses callbacks and plain timers instead of tasks, so that a request costs no task and no await.
+It uses callbacks and timers of the event loop, so that a request costs no task and no await.
 """
 
 from __future__ import annotations
@@ -26,16 +26,17 @@
 from cometdoor.wire.gossip import Backend
 from cometdoor.wire.peer_connection import PeerConnection
 
-BACKEND_IDLE_TIMEOUT_MS = 8_000.0  # assumed; backends close idle connections after 10 s by default
+BACKEND_IDLE_TIMEOUT_MS = 8_000.0  # below the 10 s after which backends close idle connections by default
 CONNECT_TIMEOUT_MS = 500.0  # the backend is on the same machine
-QUEUE_POLL_INTERVAL_S = 0.02  # while a request is queued
-# Share of the time between the acknowledgement of a drain and its end in which queued requests may still
-# start.
+QUEUE_POLL_INTERVAL_S = 0.02  # interval of queue checks while a request is queued
+# Share of the time between the acknowledgement of a drain notice and the end of the drain, during which
+# queued requests may still start.
 DRAIN_DISPATCH_SHARE = 0.6
-# A backend stops work at a request's deadline and responds. One that has not responded this much later never
-# will: some backends never answer a request that they can't queue, nor any later one on the same connection.
+# A backend stops executing a request at its deadline and responds. If no response came within this time after
+# the deadline, none will: some backends never answer a request that they can't queue, nor any later one on
+# the same connection.
 STALLED_AFTER_DEADLINE_MS = 2_000.0
-STALL_CHECK_INTERVAL_S = 1.0  # while any request is in flight
+STALL_CHECK_INTERVAL_S = 1.0  # interval of checks for stalled requests while any is in flight
 log = structlog.get_logger()
 
 
@@ -43,16 +44,16 @@
     """Owner of one backend's concurrency slots, queue and connections.
 
     Every request gets exactly one reply, unless its caller cancels it: the backend's response, NotExecuted,
-    or AttemptFailed where it may have been executed.
+    or AttemptFailed if it may have been executed.
 
     Parameters
     ----------
     descriptors
-        Quota of file descriptors that the connections to the backend use.
+        Quota of file descriptors for connections to the backend.
     drain_s
         Seconds from the acknowledgement of the backend's drain notice to the end of its process.
     health_listener
-        Notified when the backend accepts no connection, and when it has recovered.
+        Notified when a connection to the backend fails, and when the backend has recovered.
     """
 
     def __init__(
@@ -79,17 +80,17 @@
         self._in_flight: dict[InboundRequest, None] = {}
         self._queue_poll: asyncio.TimerHandle | None = None  # while any request is queued
         self._stall_check: asyncio.TimerHandle | None = None  # while any request is in flight
-        self._dispatch_ends_at = 0.0  # while draining, loop time: requests still queued then are rejected
+        self._dispatch_ends_at = 0.0  # while draining (loop time); requests still queued then are rejected
         self._health_listener = health_listener
         self._health_probe = BackendHealthProbe(loop, self._pool, health_listener)
-        self._reported_opened = 0  # connections opened up to the last report
+        self._reported_opened = 0  # connections that had been opened at the last report
 
     # --- the backend's lifecycle ---
 
     def update_backend(self, backend: Backend | None) -> None:
-        """Apply the backend's state; None: it has deregistered.
+        """Apply the backend's state, which is None once it has deregistered.
 
-        Requests that are queued for a former instance are rejected; those in flight go on.
+        Requests that are queued for a former instance are rejected; those in flight continue.
         """
         previous, self.backend = self.backend, backend
         if backend is not None:
@@ -120,7 +121,7 @@
                 self._finish(self._queued_requests[slot_request.number], NotExecuted(reason, retry_after_ms))
 
     def configure(self, health_path: str, max_connections: int) -> None:
-        """Apply the service's configuration: path of health checks, limit of connections to the backend."""
+        """Apply the service's configuration: health check path and limit of backend connections."""
         self._health_probe.path = health_path
         self._pool.max_connections = max_connections
 
@@ -229,7 +230,7 @@
     def _abandon_stalled(self) -> None:
         """Abort requests without a complete response `STALLED_AFTER_DEADLINE_MS` after their deadline.
 
-        Guards against slots that are never released.
+        Otherwise their slots would never be released.
         """
         self._stall_check = None
         due = now_ms() - STALLED_AFTER_DEADLINE_MS
@@ -249,7 +250,7 @@
             self._stall_check = self._loop.call_later(STALL_CHECK_INTERVAL_S, self._abandon_stalled)
 
     def _on_cancelled(self, request: InboundRequest) -> None:
-        """Handle that the calling proxy has cancelled the request, or that the connection to it is lost."""
+        """Handle a request that the calling proxy has cancelled, or whose connection to it is lost."""
         if request.is_over:
             return
         request.is_over = True
@@ -257,7 +258,7 @@
             self.slots.cancel(request.slot_request)
         elif request in self._in_flight:
             if request.forward_request.is_not_idempotent:
-                return  # the execution goes on: aborted halfway it could not be retried
+                return  # the execution continues: if aborted halfway, it could not be retried
             if request.exchange is not None:
                 request.exchange.abort()
             self._release_slot(request, completed=False)
--- a/cometdoor/dataplane/inbound_request.py
+++ b/cometdoor/dataplane/inbound_request.py
@@ -1,4 +1,4 @@
-"""One request for the backend beside this proxy, and its serialization for the backend."""
+"""One request for the local backend, and its serialization as HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class InboundRequest:
-    """One request from another proxy (or this one), queued for a slot or in flight at the backend.
+    """One request from an outbound proxy, queued for a slot or in flight at the backend.
 
     Attributes
     ----------
     expires_at_ms : float
-        The caller's deadline, on the monotonic clock.
+        Deadline of the caller in ms, on the monotonic clock.
     respond : Callable[[Message], None]
         Sends the reply to the calling proxy.
     is_over : bool
-        Whether the reply was sent, or the caller waits for none any more.
+        True once the reply was sent or the caller no longer waits for one.
     exchange : BackendExchange | None
-        The exchange with the backend; None while the request is queued.
+        Exchange with the backend; None while the request is queued.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
         self.is_over = False
 
     def serialize(self) -> bytes:
-        """Return the HTTP/1.1 request for the backend, with the time that remains now."""
+        """Return the HTTP/1.1 request for the backend, with the time that remains until its deadline."""
         forward_request = self.forward_request
         lines = [b"%s %s HTTP/1.1\r\n" % (forward_request.method, forward_request.target)]
         lines += [b"%s: %s\r\n" % header for header in forward_request.headers]
@@ -67,5 +67,5 @@
         return b"".join(lines)
 
     def correlate(self, response: Response) -> ResponseCorrelation:
-        """Return whether a response on its connection belongs to this request."""
+        """Determine whether a response on the request's connection belongs to this request."""
         return correlate_response(response, self.forward_request.attempt_id)
--- a/cometdoor/dataplane/keyed_requests.py
+++ b/cometdoor/dataplane/keyed_requests.py
@@ -1,7 +1,7 @@
 """I/O of the keyed requests at an outbound proxy.
 
-`cometdoor.keys.operations` decides without I/O; this module carries its decisions out: it claims keys at the
-core, starts executions, and asks the proxies that own keys for outcomes.
+`cometdoor.keys.operations` decides without I/O; this module carries out its decisions: it claims keys at the
+control plane, starts executions, and asks the proxies that own keys for outcomes.
 """
 
 from __future__ import annotations
@@ -25,16 +25,17 @@
 from cometdoor.wire.log_entries import Claim
 from cometdoor.wire.peer_connection import PeerError
 
-KEY_WAIT_MAX_SHARE = 0.9  # of its remaining time, for which an attempt waits for a claim or an execution
-KEY_RETRY_AFTER_MS = 150.0  # advised after a rejection: an election takes some tenths of a second
-KEY_EXPIRY_INTERVAL_S = 5.0  # between removals of expired keys
+KEY_WAIT_MAX_SHARE = 0.9  # of an attempt's remaining time, for which it waits for a claim or an execution
+KEY_RETRY_AFTER_MS = 150.0  # after a rejection; an election takes a few tenths of a second
+KEY_EXPIRY_INTERVAL_S = 5.0  # interval between removals of expired keys
 StartExecution = Callable[[ResponseListener[ForwardResponse], ClientRequest, Route], None]
 
 
 class KeyedExecution:
     """Listener of a service client for the execution of a keyed operation.
 
-    Not the client's own listener: the execution goes on when its client disconnects.
+    It is separate from the listener of the client's attempt, since the execution continues when that client
+    disconnects.
     """
 
     def __init__(self, keyed_requests: KeyedRequests, key: str) -> None:
@@ -46,7 +47,7 @@
         self._keyed_requests.carry_out(self._keyed_requests.operations.on_response(self._key, response))
 
     def on_rejected(self, retry_after_ms: float) -> None:
-        """Release the key: nothing was executed."""
+        """Release the key, since nothing was executed."""
         self._keyed_requests.carry_out(self._keyed_requests.operations.on_not_executed(self._key))
 
     def on_failed(self) -> None:
@@ -55,19 +56,19 @@
 
 
 class KeyedRequests:
-    """Owner of the keyed operations of one proxy, and of their I/O.
+    """The keyed operations of one proxy and their I/O.
 
     Parameters
     ----------
     incarnation
-        Of this proxy's process; claims of an earlier incarnation are not its own.
+        Incarnation of this proxy's process; claims of an earlier incarnation are not its own.
     window_s
         Seconds for which an operation's outcome is kept.
     replica_addresses
-        Internal addresses of the core, the probable leader first.
+        Returns the internal addresses of the control plane's replicas, the probable leader first.
     start_execution
-        Hands the one execution of an operation to the client of its route's service; the listener is
-        notified of its end.
+        Passes the only execution of an operation to the client of its route's service; the listener is
+        notified when it ends.
     """
 
     def __init__(
@@ -103,18 +104,18 @@
         self.carry_out(self.operations.abandon(outbound_request.key, outbound_request, is_timed_out=True))
 
     def on_client_disconnected(self, outbound_request: OutboundRequest) -> None:
-        """Forget an attempt whose client has disconnected; an execution that has started goes on."""
+        """Remove an attempt whose client has disconnected; an execution that has started continues."""
         outbound_request.cancel_timer()
         self.carry_out(self.operations.abandon(outbound_request.key, outbound_request))
 
     def on_operation_request(
         self, message: OperationRequest, respond: Callable[[OperationReply], None]
     ) -> None:
-        """Answer another proxy that asks for the outcome of an operation, at once or when it is known."""
+        """Answer another proxy's query for the outcome of an operation, now or once the outcome is known."""
         self.operations.on_outcome_query(message.key, message.claim_id, respond)
 
     def carry_out(self, actions: Sequence[key_actions.Action[OutboundRequest]]) -> None:
-        """Carry out what the operations decided, in order."""
+        """Carry out the actions, in order."""
         for action in actions:
             match action:
                 case SubmitClaim():
@@ -146,7 +147,7 @@
             self.carry_out(self.operations.on_owner_reply(action.key, action.claim_id, known))
 
         if action.owner == self._internal_address:
-            # An earlier incarnation of this proxy claimed the key; the outcome was lost when it ended.
+            # An earlier incarnation of this proxy claimed the key, and the outcome was lost when it ended.
             on_reply(OperationReply("unknown"))
             return
         call = self._connections.call(action.owner, OperationRequest(action.key, action.claim_id), on_reply)
@@ -159,7 +160,7 @@
 
 
 def respond_under_own_id(waiter: OutboundRequest, response: ForwardResponse) -> None:
-    """Answer an attempt with the operation's response, under its own id instead of the executed attempt's."""
+    """Answer an attempt with the operation's response; the executed attempt's id is replaced by its own."""
     headers = [(name, value) for name, value in response.headers if name.lower() != ATTEMPT_ID_HEADER]
     headers.append((b"Cometdoor-Attempt-Id", waiter.request.trace))
     waiter.respond(response.status, headers, response.body)
--- a/cometdoor/dataplane/outbound_proxy.py
+++ b/cometdoor/dataplane/outbound_proxy.py
@@ -1,4 +1,4 @@
-"""Outbound proxy: routes the requests of callers on this machine to services."""
+"""Outbound proxy: routes requests of local callers to services."""
 
 from __future__ import annotations
 
@@ -25,27 +25,27 @@
 from cometdoor.wire.forwarding import ForwardResponse
 from cometdoor.wire.keys import OperationReply, OperationRequest
 
-NO_CONFIGURATION_RETRY_AFTER_S = 0.3  # the first configuration arrives within a second of the start
+NO_CONFIGURATION_RETRY_AFTER_S = 0.3  # the first configuration arrives within one second of the start
 log = structlog.get_logger()
 
 
 class OutboundProxy:
-    """Handler of the frontend that callers on this machine use.
+    """Request handler of the frontend for local callers.
 
-    Owner of the service clients, the keyed requests and this proxy's shares of the retry budgets.
+    It owns the service clients, the keyed requests and this proxy's shares of the retry budgets.
 
     Parameters
     ----------
     internal_address
         Address at which other proxies reach this process, "ip:port".
     replica_addresses
-        Returns the internal addresses of the core, the probable leader first.
+        Returns the internal addresses of the control plane's replicas, the probable leader first.
     incarnation
         Random id of this process.
     proxy_count
         Returns the number of known data planes.
     retry_share
-        Returns the share of the executions in flight at the local backend that may repeat an earlier one.
+        Returns the share of executions in flight at the local backend that may repeat an earlier execution.
     """
 
     def __init__(
@@ -92,11 +92,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether a configuration is in force."""
+        """True once a configuration is in force."""
         return self.routes is not None
 
     def open_requests(self) -> int:
-        """Return how many requests wait at service clients; keyed ones that wait for a claim don't count."""
+        """Return the number of requests open at service clients, without keyed ones that wait for a claim."""
         return sum(service_client.open_requests() for service_client in self._service_clients.values())
 
     def report(self) -> None:
@@ -110,12 +110,12 @@
             log.info("keyed requests", **counts_of_keys)
 
     def fail_all(self) -> None:
-        """Fail every open request of the service clients: the process is about to end."""
+        """Fail every open request of the service clients, as the process is about to exit."""
         for service_client in self._service_clients.values():
             service_client.fail_all()
 
     def update_endpoints(self, backend_endpoints: Mapping[str, Sequence[BackendEndpoint]]) -> None:
-        """Replace the endpoints of all services; `backend_endpoints` has them by service."""
+        """Replace the endpoints of all services, given by service."""
         self._backend_endpoints = backend_endpoints
         for service, service_client in self._service_clients.items():
             service_client.update_endpoints(backend_endpoints.get(service, []))
@@ -167,22 +167,22 @@
         outbound_request = self._new_outbound_request(connection, request)
         outbound_request.service_client = self._service_client(service := choose_service(route, self._rng))
         if retry_share := self._retry_share():
-            # The local backend doesn't say whether it calls from a retried execution: the call counts with
-            # the share of its executions that are retries.
+            # The local backend does not report which of its executions makes the call, so the call is
+            # weighted by the share of executions that are retries.
             self.budget_shares.for_service(service).record_repeated_call(retry_share, self._loop.time())
         outbound_request.exchange = outbound_request.service_client.accept(outbound_request, request, route)
 
     def _new_outbound_request(
         self, connection: ClientConnection, request: ClientRequest, key: str = ""
     ) -> OutboundRequest:
-        """Create and register a request, until it is answered or its client disconnects."""
+        """Create a request, registered until it is answered or its client disconnects."""
         outbound_request = self._outbound_requests[connection] = OutboundRequest(
             connection, request, key, self._outbound_requests.pop
         )
         return outbound_request
 
     def on_client_disconnected(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Cancel the client's request if it is idempotent; another one goes on without a client."""
+        """Cancel the client's request if it is idempotent; otherwise it continues without a client."""
         outbound_request = self._outbound_requests.pop(connection, None)
         if outbound_request is None or outbound_request.request is not request:
             return
@@ -201,5 +201,5 @@
     def on_operation_request(
         self, message: OperationRequest, respond: Callable[[OperationReply], None]
     ) -> None:
-        """Answer another proxy that asks for the outcome of a keyed operation."""
+        """Answer another proxy's query for the outcome of a keyed operation."""
         self.keyed_requests.on_operation_request(message, respond)
--- a/cometdoor/dataplane/outbound_request.py
+++ b/cometdoor/dataplane/outbound_request.py
@@ -1,4 +1,4 @@
-"""One request of a client at the outbound proxy: reading its header fields, and answering it."""
+"""One client request at the outbound proxy: parsing of its header fields, and its response."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
         IDEMPOTENCY_KEY_HEADER,
     }
 )
-RETRY_AFTER_MIN_MS = 20.0  # shortest advice in a 503
+RETRY_AFTER_MIN_MS = 20.0  # shortest Retry-After of a 503 response
 
 
 class OutboundRequestReader:
-    """Reads the mesh's header fields of a client's request; its route is looked up once it is complete."""
+    """Parses the mesh's header fields of a client request; the route is looked up once it is complete."""
 
     def __init__(self) -> None:
         self.max_body_bytes = 64 << 20
 
     def read(self, request: ClientRequest) -> None:
-        """Set the request's fields from its head.
+        """Set the request's fields from its header section.
 
-        `trace` becomes the attempt id, `remaining_ms` the deadline (0: the client gave none), `route` the
-        pair of host and idempotency key, which the outbound proxy replaces by the route.
+        `trace` becomes the attempt id, `remaining_ms` the deadline (0 if the client set none), and `route`
+        the pair of host and idempotency key, which the outbound proxy replaces by the route.
 
         Raises
         ------
         BadRequestError
-            With status 400 or 413: a field is missing, malformed, repeated, or announces a body that is too
-            long.
+            With status 400 or 413, if a field is missing, malformed, repeated, or announces a body that is
+            too long.
         """
         fields = validate_headers(request, MESH_SINGLE_VALUE_HEADERS, self.max_body_bytes)
         request.trace = fields.get(ATTEMPT_ID_HEADER, b"")
@@ -52,13 +52,13 @@
         if not fields.get(b"host"):
             raise BadRequestError(400, "Host is missing")
         if not request.target.startswith(b"/"):
-            raise BadRequestError(400, "the target is no path")
+            raise BadRequestError(400, "the request target must start with /")
         try:
             request.remaining_ms = (
                 parse_decimal(fields[DEADLINE_HEADER]) if DEADLINE_HEADER in fields else 0.0
             )
         except ValueError:
-            raise BadRequestError(400, "Cometdoor-Deadline-Ms is no number") from None
+            raise BadRequestError(400, "Cometdoor-Deadline-Ms is not a number") from None
         request.service = None
         request.route = (
             fields[b"host"].decode("latin-1"),
@@ -67,16 +67,16 @@
 
 
 class OutboundRequest:
-    """One request of a client, until it is answered.
+    """One client request, until it is answered.
 
-    It is the listener of a service client's host, or waits for a keyed operation.
+    It is the listener of a service client's host, or waits for the outcome of a keyed operation.
 
     Parameters
     ----------
     key
-        The idempotency key; empty: the request is not keyed.
+        The idempotency key; empty if the request is not keyed.
     on_answered
-        Called with the connection when the request is answered.
+        Called with the client's connection when the request is answered.
     """
 
     __slots__ = ("_on_answered", "connection", "exchange", "key", "request", "service_client", "timer")
@@ -89,12 +89,12 @@
         on_answered: Callable[[ClientConnection], object],
     ) -> None:
         self._on_answered = on_answered
-        self.connection: ClientConnection | None = connection  # None: answered, or disconnected
+        self.connection: ClientConnection | None = connection  # None once answered or disconnected
         self.request = request
         self.key = key
         self.service_client: ServiceClient | None = None
         self.exchange: ClientExchange | None = None
-        self.timer: asyncio.TimerHandle | None = None  # until a keyed attempt is abandoned
+        self.timer: asyncio.TimerHandle | None = None  # for the timeout of a keyed attempt
 
     def cancel_timer(self) -> None:
         """Stop the timer of a keyed attempt, if it has one."""
@@ -103,7 +103,7 @@
             self.timer = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer the client. Only the first call has an effect, and only while its connection still waits."""
+        """Answer the client; only the first call has an effect, while the connection waits for it."""
         if self.timer is not None:
             self.cancel_timer()
         connection, self.connection = self.connection, None
@@ -119,10 +119,10 @@
         self.respond(response.status, response.headers, response.body)
 
     def on_rejected(self, retry_after_ms: float) -> None:
-        """Answer 503 with Retry-After: nothing was executed."""
+        """Respond with 503 and Retry-After: nothing was executed."""
         retry_after_s = max(retry_after_ms, RETRY_AFTER_MIN_MS) / 1000.0
         self.respond(503, [(b"Retry-After", b"%.3f" % retry_after_s)], b"")
 
     def on_failed(self) -> None:
-        """Answer 502: the request may have been executed."""
+        """Respond with 502: the request may have been executed."""
         self.respond(502, [], b"")
--- a/cometdoor/dataplane/process.py
+++ b/cometdoor/dataplane/process.py
@@ -39,20 +39,20 @@
 from cometdoor.wire.peer_connection import PeerConnection
 
 ROLE = "dataplane"
-ENDPOINT_REFRESH_INTERVAL_S = 0.5  # so that backends of suspected proxies leave the endpoint lists
+ENDPOINT_REFRESH_INTERVAL_S = 0.5  # to remove backends of suspected proxies from the endpoint lists
 MAX_HEARTBEAT_BYTES = 64 << 10
-# After SIGTERM the platform sends clients elsewhere once two readiness checks, a second apart, have failed.
+# After SIGTERM the platform redirects clients once two readiness checks, one second apart, have failed.
 READINESS_DRAIN_S = 2.6
 SHUTDOWN_POLL_INTERVAL_S = 0.03
 REPORT_INTERVAL_S = 5.0
-FINAL_RESPONSE_MARGIN_S = 0.3  # before the end of the grace period: open requests are failed then
-# Between the last write and the close of all connections: the link is still sending a chunk.
+FINAL_RESPONSE_MARGIN_S = 0.3  # time before the end of the grace period at which open requests are failed
+# Delay between the last write and the close of all connections, as the link may still be sending a chunk.
 CLOSE_DELAY_S = 0.1
 log = structlog.get_logger()
 
 
 class ReadinessApi:
-    """Handler of the frontend that the platform's readiness checks use."""
+    """Request handler of the frontend for the platform's readiness checks."""
 
     is_ready = True
 
@@ -60,7 +60,7 @@
         self._data_plane = data_plane
 
     def accept(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Answer 200 while the data plane serves, else 503."""
+        """Respond with 200 while the data plane serves callers, else with 503."""
         match (request.method, path_segments(request)):
             case (b"GET" | b"HEAD", ("readiness",)):
                 connection.respond(200 if self._data_plane.is_serving() else 503, [], b"")
@@ -68,17 +68,17 @@
                 respond_error(404, "there is no such call here", connection)
 
     def on_client_disconnected(self, connection: ClientConnection, request: ClientRequest) -> None:
-        """Do nothing: every call is answered at once."""
+        """Do nothing: every request is answered immediately."""
 
 
 class DataPlane:
-    """Creates and connects the components of one data plane process; starts and shuts them down.
+    """Creates, connects, starts and shuts down the components of one data plane process.
 
-    Builds the endpoint lists from the gossip directory, and applies configurations and the backend's state.
+    It builds endpoint lists from the gossip directory, and applies configurations and the backend's state.
     """
 
     def __init__(self, node_settings: NodeSettings, loop: asyncio.AbstractEventLoop) -> None:
-        self.node_settings = self.latest_settings = node_settings  # in use, and as read last
+        self.node_settings = self.latest_settings = node_settings  # settings in use, and settings read last
         self._loop = loop
         self._is_shutting_down = False
         self._refresh_scheduled = False
@@ -131,7 +131,7 @@
         Raises
         ------
         ExceptionGroup
-            Of ListenError, one for each address at which it can't listen.
+            Contains a ListenError for each address at which it can't listen.
         """
         addresses = self.node_settings.listen_addresses
         assert addresses.outbound and addresses.readiness and addresses.control_plane
@@ -150,7 +150,7 @@
         self._report()
 
     def apply_settings(self, node_settings: NodeSettings) -> None:
-        """Apply a reloaded settings file: its seed nodes now; all else takes effect at the next start."""
+        """Apply a reloaded settings file: seed nodes immediately; other settings apply at the next start."""
         self.directory.seeds = node_settings.seed_internal_addresses()
 
     def is_serving(self) -> bool:
@@ -173,7 +173,7 @@
     def _on_configuration(self, revision: int, body: bytes) -> None:
         try:
             document = parse(body)
-        except SettingsError as error:  # a core of a newer version may accept more than this process does
+        except SettingsError as error:  # a newer control plane may accept more
             log.error("configuration not understood", step="apply", error=str(error)[:300])
             return
         self.outbound_proxy.routes = routes = Routes(document)
@@ -192,7 +192,9 @@
         log.info("configuration in force", revision=revision)
 
     def _on_backend_changed(self, backend: Backend | None) -> None:
-        log.info("backend", instance=backend and backend.instance, state=backend and backend.state)
+        log.info(
+            "backend state changed", instance=backend and backend.instance, state=backend and backend.state
+        )
         self.inbound_proxy.update_backend(backend)
         self.directory.publish(msgspec.structs.replace(self.directory.local_record, backend=backend))
         self.gossip_server.flush()
@@ -201,7 +203,7 @@
     # --- endpoint lists ---
 
     def _replica_addresses(self) -> list[str]:
-        """Return the internal addresses of the core, the member that reports to lead first."""
+        """Return the internal addresses of the control plane's replicas, the reported leader first."""
         records = [record for record in self.directory.alive() if record.role == "controlplane"]
         records.sort(key=lambda record: record.state != "leading")
         return list(
@@ -219,7 +221,7 @@
         self._refresh_scheduled = False
         data_planes = [record for record in self.directory.records.values() if record.role == ROLE]
         alive = [record for record in data_planes if not record.is_suspected]
-        # If at least half are suspected, this proxy is most likely the partitioned one: it keeps them all.
+        # If at least half are suspected, this proxy itself is most likely partitioned, and keeps them all.
         if len(alive) * 2 <= len(data_planes):
             alive = data_planes
         backend_endpoints: dict[str, list[BackendEndpoint]] = {}
@@ -247,7 +249,7 @@
     # --- shutdown ---
 
     async def shutdown(self, grace_s: float) -> None:
-        """Shut down gracefully: serve until the platform has moved callers, answer open requests, then stop.
+        """Shut down gracefully: serve until the platform has redirected callers, answer open requests, stop.
 
         `grace_s` is the grace period in seconds; requests that are open shortly before its end are failed.
         """
--- a/cometdoor/dataplane/request_classes.py
+++ b/cometdoor/dataplane/request_classes.py
@@ -1,4 +1,4 @@
-"""Request classes of the decision module, from the routes of the configuration."""
+"""Request classes of the decision module, derived from the configured routes."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from cometdoor.balancing.api import Effect
 from cometdoor.dataplane.slots import value_of_priority
 
-IDEMPOTENT_ROUTE_TYPES = ("idempotent", "download")  # whose requests may be executed more than once
-LATE_VALUE = 0.4  # value of a response after the latency target, as a share of that of one in time
+IDEMPOTENT_ROUTE_TYPES = ("idempotent", "download")  # their requests may be executed more than once
+LATE_VALUE = 0.4  # value of a response after the latency target, relative to one in time
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClassKey:
-    """The properties of a route that matter to the decision module; routes that share them are one class."""
+    """Route properties that matter to the decision module; routes with equal ones share a class."""
 
     route_type: str
     timeout_s: float
@@ -24,7 +24,7 @@
 
 
 def request_class_of(key: RequestClassKey) -> api.RequestClass:
-    """Return the decision module's class for requests of such a route."""
+    """Return the decision module's class for requests of routes with these properties."""
     return api.RequestClass(
         latency_target_ms=key.target_latency_s * 1000.0,
         deadline_ms=key.timeout_s * 1000.0,
--- a/cometdoor/dataplane/request_statistics.py
+++ b/cometdoor/dataplane/request_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of a service client for the log: requests, retries, hedges, and outcomes of attempts."""
+"""Statistics of a service client for the log: requests, retries, hedges, and attempt outcomes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class RequestStatistics:
-    """Observer of one host: counts its attempts.
+    """Observer of one host that counts its attempts.
 
-    A hedge is an attempt that is sent while another one of the same request is in flight.
+    A hedge is an attempt that is sent while another attempt of the same request is in flight.
     """
 
     def __init__(self) -> None:
@@ -23,12 +23,12 @@
         self._response_count = 0
 
     def on_endpoints_changed(self, event: api.EndpointsChanged) -> None:
-        """Ignore the change: it is not counted."""
+        """Do nothing: endpoint changes are not counted."""
 
     def on_attempt_sent(
         self, server: str, attempt: AttemptId, latency_target_ms: float, now_ms: float
     ) -> None:
-        """Count an attempt, as the request's first, a hedge or a retry."""
+        """Count an attempt as the request's first attempt, a hedge or a retry."""
         request, index = attempt
         outstanding = self._outstanding.setdefault(request, set())
         self._counts["requests" if index == 0 else "hedges" if outstanding else "retries"] += 1
@@ -39,7 +39,7 @@
     def on_attempt_ended(
         self, server: str, attempt: AttemptId, outcome: Outcome, latency_target_ms: float, now_ms: float
     ) -> None:
-        """Count an attempt's outcome, and a hedge that succeeded."""
+        """Count an attempt's outcome, and whether it is a successful hedge."""
         request, index = attempt
         outstanding = self._outstanding.get(request)
         if outstanding is None or index not in outstanding:
@@ -59,7 +59,7 @@
         self._max_latency_ms = max(self._max_latency_ms, latency_ms)
 
     def drain_counts(self) -> dict[str, float]:
-        """Return the counts since the last call, and the mean and longest latency of attempts in ms."""
+        """Return and reset the counts, and the mean and longest latency of attempts in ms."""
         counts: dict[str, float] = {name: count for name, count in self._counts.items() if count}
         if self._response_count:
             counts["mean_latency_ms"] = round(self._latency_sum_ms / self._response_count, 1)
--- a/cometdoor/dataplane/service_client.py
+++ b/cometdoor/dataplane/service_client.py
@@ -1,7 +1,7 @@
 """Client of one service: load balancing, retries and hedged requests to its backends.
 
-It owns a host with an instance of the decision module, and is that host's transport: it sends each attempt
-over a peer connection to the inbound proxy beside the backend.
+It owns a host with an instance of the decision module and serves as that host's transport: it sends each
+attempt over a peer connection to the inbound proxy of the backend.
 """
 
 from __future__ import annotations
@@ -32,12 +32,13 @@
 from cometdoor.wire.frames import Message
 from cometdoor.wire.peer_connection import PeerError
 
-SLOW_START_INITIAL_SHARE = 0.5  # of its full capacity, at the start of a backend's slow start
-# Attempts for one request, including those that an inbound proxy rejects: these cost a round trip, but no
-# execution. Executions are limited by the route's max_attempts.
+SLOW_START_INITIAL_SHARE = 0.5  # share of full capacity at the start of a backend's slow start
+# Limit of attempts for one request, including those that an inbound proxy rejects, which cost a round trip
+# but no execution. Executions are limited by the route's max_attempts.
 MAX_SENDS = 6
-THROTTLED_RETRY_AFTER_SHARE = 0.25  # of the latency target: shortest backoff of a throttled request
-BULK_CHANNEL = "bulk"  # separate connection for downloads, so that short responses don't wait behind them
+# Shortest backoff of a throttled request, as a share of the latency target.
+THROTTLED_RETRY_AFTER_SHARE = 0.25
+BULK_CHANNEL = "bulk"  # separate connection for downloads, so that they do not delay short responses
 RESERVED_HEADERS = frozenset(
     {b"cometdoor-deadline-ms", b"cometdoor-expected-instance", b"cometdoor-caller-service"}
 )
@@ -46,18 +47,18 @@
 class ServiceClient:
     """Load balancing client for one service, and the `BackendTransport` of its balancer host.
 
-    Throttles request classes that mostly find no slot, and counts requests and retries for the retry budget.
+    Throttles request classes that are mostly rejected, and counts requests and retries for the retry budget.
 
     Parameters
     ----------
     budget_share
         This proxy's share of the service's retry budget.
     caller_service
-        Service of the local backend, which backends see as their caller.
+        Service of the local backend, which other backends see as their caller.
     budget_ratio, window_s
-        Retries that the budget allows per request, over a window of this many seconds.
+        Retries that the budget allows per request, and the length of its window in seconds.
     seed
-        Seed of all random choices.
+        Seed for all random choices.
     zone, zone_count
         Index of the local zone, and the number of zones.
     """
@@ -109,7 +110,7 @@
     def accept(
         self, caller: ResponseListener[ForwardResponse], request: ClientRequest, route: Route
     ) -> ClientExchange | None:
-        """Accept a request of a caller; return None if it was throttled: then it is rejected already."""
+        """Accept a request of a caller; return None if it was throttled and therefore already rejected."""
         key = RequestClassKey(
             route.route_type, route.timeout_s, route.target_latency_s, route.priority, route.max_attempts
         )
@@ -130,7 +131,7 @@
         return exchange
 
     def on_budget_changed(self, floor: float) -> None:
-        """Apply a new `floor` of this proxy's share of the retry budget."""
+        """Apply a new floor of this proxy's share of the retry budget."""
         self._host.submit_event(api.BudgetChanged(floor))
 
     def on_client_disconnected(self, exchange: ClientExchange) -> None:
@@ -138,15 +139,15 @@
         self._host.on_client_disconnected(exchange)
 
     def open_requests(self) -> int:
-        """Return how many requests wait for a response."""
+        """Return the number of requests that wait for a response."""
         return self._host.open_requests()
 
     def fail_all(self) -> None:
-        """Fail every open request: the process is about to end."""
+        """Fail every open request, as the process is about to exit."""
         self._host.fail_all()
 
     def report(self) -> dict[str, object]:
-        """Return counts since the last report, for the log; empty if there was no request."""
+        """Return counts since the last report for the log, or an empty dict without requests."""
         counts: dict[str, object] = dict(self._statistics.drain_counts())
         if not counts:
             return counts
@@ -162,7 +163,7 @@
         )
 
     def update_endpoints(self, backend_endpoints: Sequence[BackendEndpoint]) -> None:
-        """Replace the endpoints of the service, draining ones included."""
+        """Replace the endpoints of the service, including those that drain."""
         update = self._endpoints.update(backend_endpoints, now_ms())
         if update is not None:
             self._host.on_endpoints_changed(update.event, update.addresses)
@@ -177,7 +178,7 @@
         expires_at_ms: float,
         on_result: Callable[[AttemptResult, ForwardResponse | None], None],
     ) -> AttemptHandle | Outcome:
-        """Send an attempt to the inbound proxy beside the backend `server`."""
+        """Send an attempt to the inbound proxy of the backend `server`."""
         throttle = self._throttles[request.class_index]
         exchange: ClientExchange = request.exchange
         forward_request = self._new_forward_request(server, request, expires_at_ms, throttle)
@@ -195,7 +196,7 @@
             if response is not None:
                 throttle.on_attempt_ended(response.status < 500, now_ms())
             if result.outcome is Outcome.ERROR and response is not None and not throttle.may_retry(now_ms()):
-                result = result_of_response(Outcome.OK)  # pass on the failure instead of a retry
+                result = result_of_response(Outcome.OK)  # forward the failure instead of retrying
             on_result(result, response)
 
         call = self._connections.call(
--- a/cometdoor/dataplane/slots.py
+++ b/cometdoor/dataplane/slots.py
@@ -1,9 +1,9 @@
 """Concurrency slots of one backend, and the queue for them. No I/O; callers pass the time, in milliseconds.
 
-All requests of a backend pass through its inbound proxy, which therefore knows exactly how many are in
-flight. A free slot goes to the request that is due first. If not all queued requests can be in time, the one
-with the lowest value per millisecond of execution is rejected at once, while another backend may still serve
-it. So the queue is bounded by time, not by count.
+All requests to a backend pass through its inbound proxy, which therefore has the exact number in flight. A
+free slot goes to the request with the earliest due time. If not all queued requests can be served in time,
+the one with the lowest value per millisecond of execution is rejected immediately, while another backend may
+still serve it. The queue is therefore bounded by time, not by count.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from cometdoor.balancing.admission import ClassValues
 from cometdoor.balancing.decaying_average import DecayingAverage
 
-# Share of its latency target for which a request may be queued. The rest is for its execution, and for
-# another backend if the predicted wait was wrong.
+# Share of its latency target for which a request may be queued. The rest is left for its execution, and for
+# an attempt at another backend if the predicted wait was wrong.
 MAX_WAIT_SHARE_OF_TARGET = 0.5
 PRIOR_EXECUTION_MS = 100.0  # assumed duration of an execution until some have ended
-PRIOR_COUNT = 2.0  # executions that the assumed duration counts for
-MAX_SHED_GROUPS = 64  # shed groups to remember; later requests of a group arrive within milliseconds
-URGENT_PRIORITY = 1  # routes of this priority or a higher one (0 is the highest) have twice the value
-# Weights that the users' deployments give the total value and the worst-served kind of requests. By value
-# alone, a long shortage of capacity was borne by downloads until hardly one was served.
+PRIOR_COUNT = 2.0  # weight of the assumed duration, in executions
+MAX_SHED_GROUPS = 64  # shed groups that are remembered; requests of a group arrive within milliseconds
+URGENT_PRIORITY = 1  # requests of this or a higher priority (0 is the highest) have twice the value
+# Weights of the total value and of the worst-served kind of requests, as in the users' deployments. With the
+# value as the only criterion, hardly any download was served during a long shortage of capacity.
 TOTAL_VALUE_WEIGHT, WORST_CLASS_WEIGHT = 0.5, 0.15
 
 
 def value_of_priority(priority: int) -> float:
-    """Return the value of one request that is served in time, by its route's priority."""
+    """Return the value of serving one request in time, by its route's priority."""
     return 2.0 if priority <= URGENT_PRIORITY else 1.0
 
 
@@ -43,24 +43,24 @@
     is_not_idempotent: bool
 
     def label(self) -> str:
-        """Return its name in log lines."""
+        """Return the name of the kind in log lines."""
         return f"p{self.priority} {self.latency_target_ms:g}ms"
 
 
 @dataclass(order=True)
 class SlotRequest:
-    """One request for a slot; ordered by when it is due, then by number."""
+    """One request for a slot, ordered by due time and then by number."""
 
     due_ms: float  # arrival plus latency target
     number: int
     kind: RequestKind = field(compare=False)
-    expires_at_ms: float = field(compare=False)  # its caller waits until then
+    expires_at_ms: float = field(compare=False)  # deadline of its caller
     arrived_at_ms: float = field(compare=False)
-    admitted_share: float = field(default=1.0, compare=False)  # of its class, at the calling proxy's throttle
-    # Group of requests of the same kind that one execution elsewhere sent together; None: it was sent alone.
+    admitted_share: float = field(default=1.0, compare=False)  # of its class, at the calling proxy
+    # Group of requests of the same kind that one execution of a caller sent together; None if sent alone.
     group: Hashable = field(default=None, compare=False)
     group_size: float = field(default=1.0, compare=False)  # mean size of the calling proxy's groups
-    started_at_ms: float = field(default=0.0, compare=False)  # when it was given a slot; 0: not yet
+    started_at_ms: float = field(default=0.0, compare=False)  # when it got a slot; 0 before that
 
 
 class RequestKindValues:
@@ -96,17 +96,17 @@
         return index
 
     def record_execution(self, request: SlotRequest, now: float) -> None:
-        """Count the duration of an execution that has completed."""
+        """Record the duration of a completed execution."""
         self._execution_ms[self.index(request.kind)].add(now - request.started_at_ms, now)
 
     def record_decision(self, request: SlotRequest, granted: bool, now: float) -> None:
-        """Count whether the request was given a slot or rejected."""
+        """Record whether the request got a slot or was rejected."""
         index = self.index(request.kind)
         assert self._class_values is not None
         self._class_values.on_request_ended(index, request.admitted_share if granted else 0.0, 1.0, now)
 
     def value(self, request: SlotRequest, now: float) -> float:
-        """Return the request's value per millisecond of execution; a group has the value of one request."""
+        """Return the request's value per millisecond of execution; a group counts as one request."""
         index = self.index(request.kind)
         assert self._class_values is not None
         execution_ms = self._execution_ms[index].mean(PRIOR_EXECUTION_MS, PRIOR_COUNT, now)
@@ -114,7 +114,7 @@
 
 
 class ConcurrencySlots:
-    """Gives the slots of one backend to requests, queues requests, and rejects those that would be late."""
+    """Assigns the slots of one backend to requests, queues requests, and rejects those that would be late."""
 
     def __init__(self) -> None:
         self.capacity = 1
@@ -137,7 +137,7 @@
         group: Hashable = None,
         group_size: float = 1.0,
     ) -> SlotRequest:
-        """Create a request that arrives at `now`; `submit` starts or queues it."""
+        """Create a request that arrived at `now`, for use with `submit`."""
         self._last_number += 1
         return SlotRequest(
             now + kind.latency_target_ms,
@@ -155,13 +155,13 @@
         return self._execution_ms.mean(PRIOR_EXECUTION_MS, PRIOR_COUNT, now)
 
     def expected_wait_ms(self, ahead: int, now: float) -> float:
-        """Return the predicted time in the queue of a request behind `ahead` others."""
+        """Return the predicted queueing time of a request with `ahead` others in front of it."""
         excess = self.in_flight - self.capacity + 1 + ahead
-        # The first slot is released after half of an execution on average, each later one after a whole one.
+        # On average, the first slot is released after half an execution, each later one after a whole one.
         return max(excess - 0.5, 0.0) * self.mean_execution_ms(now) / self.capacity if excess > 0 else 0.0
 
     def submit(self, request: SlotRequest, now: float) -> list[SlotRequest]:
-        """Start or queue the request; return the requests that are shed for it, which may include itself."""
+        """Start or queue the request; return the requests that are shed, which may include this one."""
         if self.in_flight < self.capacity and not self.queued:
             self._start(request, now)
             return []
@@ -171,8 +171,8 @@
         insort(self.queued, request)
         rejected = []
         while (late_index := self._first_late_index(now)) is not None:
-            # Shed the least valuable of the first late request and those ahead of it; among equals the
-            # newest.
+            # Shed the least valuable among the first late request and those ahead of it; of equally valuable
+            # ones the newest.
             least_valuable = min(
                 self.queued[: late_index + 1],
                 key=lambda candidate: (self._kind_values.value(candidate, now), -candidate.number),
@@ -181,7 +181,7 @@
         return rejected
 
     def _shed_group(self, request: SlotRequest, now: float) -> list[SlotRequest]:
-        """Remove a request and its group: the execution that sent them needs them all."""
+        """Remove a request and its group, since the execution that sent them needs all of them."""
         rejected = [
             candidate
             for candidate in self.queued
@@ -222,14 +222,14 @@
         self._counts[f"{request.kind.label()} started"] += 1
 
     def release(self, request: SlotRequest, now: float, completed: bool) -> None:
-        """Release the request's slot; its duration counts for predictions only if it was `completed`."""
+        """Release the request's slot; only durations of completed executions are used for predictions."""
         self.in_flight -= 1
         if completed:
             self._execution_ms.add(now - request.started_at_ms, now)
             self._kind_values.record_execution(request, now)
 
     def start_next(self, now: float) -> SlotRequest | None:
-        """Start the request that is due first, if a slot is free, and return it."""
+        """Start and return the request with the earliest due time, if a slot is free."""
         if not self.queued or self.in_flight >= self.capacity:
             return None
         request = self.queued.pop(0)
@@ -237,7 +237,7 @@
         return request
 
     def remove_overdue(self, now: float) -> list[SlotRequest]:
-        """Remove and return the requests that were queued for too long, or whose deadline has passed."""
+        """Remove and return requests that were queued for too long or whose deadline has passed."""
         rejected = [
             request
             for request in self.queued
@@ -256,7 +256,7 @@
         self._counts[f"{request.kind.label()} {reason}"] += 1
 
     def report(self, now: float) -> dict[str, float]:
-        """Return counts since the last report, for the log: by kind, started, shed and overdue requests."""
+        """Return counts since the last report for the log: started, shed and overdue requests by kind."""
         counts, self._counts = self._counts, Counter()
         if not counts:
             return {}
--- a/cometdoor/keys/__init__.py
+++ b/cometdoor/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency keys: one operation per key, whichever proxies its attempts reach."""
+"""Idempotency keys: one operation per key, regardless of which proxies its attempts reach."""
--- a/cometdoor/keys/actions.py
+++ b/cometdoor/keys/actions.py
@@ -1,4 +1,4 @@
-"""Actions that `KeyedOperations` returns and its proxy carries out."""
+"""Actions that `KeyedOperations` returns for its proxy to carry out."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from cometdoor.wire.forwarding import ForwardResponse
 
 WaiterT = TypeVar("WaiterT")
-"""One attempt of a client, as the proxy represents it."""
+"""One attempt of a client, in the proxy's representation."""
 
 
 @dataclass(frozen=True)
 class SubmitClaim:
-    """Submit a claim of this proxy on the key to the control plane."""
+    """Submit this proxy's claim on the key to the control plane."""
 
     key: str
     claim_id: str
-    supersedes: str = ""  # id of another proxy's claim that was released without executing
+    supersedes: str = ""  # id of another proxy's claim that was released without execution
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class QueryOwner:
-    """Ask the proxy that holds the key for the outcome of its operation."""
+    """Query the proxy that owns the key for the outcome of its operation."""
 
     key: str
     owner: str  # internal address
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Respond(Generic[WaiterT]):
-    """Answer this attempt with the operation's response."""
+    """Answer this attempt with the response of the operation."""
 
     waiter: WaiterT
     response: ForwardResponse
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class ReportInProgress(Generic[WaiterT]):
-    """Answer this attempt that the operation is still in progress."""
+    """Answer this attempt with a notice that the operation is still in progress."""
 
     waiter: WaiterT
 
--- a/cometdoor/keys/claims.py
+++ b/cometdoor/keys/claims.py
@@ -1,6 +1,6 @@
 """Claims on idempotency keys, submitted to the control plane's leader.
 
-Claims submitted in one iteration of the event loop travel in one request.
+Claims that are submitted in one iteration of the event loop are sent in one request.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from cometdoor.wire.log_entries import Claim
 from cometdoor.wire.peer_connection import PeerError, PendingCall
 
-CLAIM_DEADLINE_S = 3.0  # about as long as the longest deadlines of requests with keys
-RETRY_DELAY_S = 0.06  # until the next attempt, when no replica could order the claims
-CALL_TIMEOUT_S = 0.7  # of one attempt; then another replica is asked
-# Redirects to another leader are followed at once on the first attempts, then after a delay: during a change
-# of leaders two replicas may each name the other.
+CLAIM_DEADLINE_S = 3.0  # about the longest deadline of requests with keys
+RETRY_DELAY_S = 0.06  # delay before the next attempt if no replica could order the claims
+CALL_TIMEOUT_S = 0.7  # timeout of one attempt, after which another replica is tried
+# The first attempts follow redirects to another leader immediately, later ones after a delay: during a leader
+# change two replicas may redirect to each other.
 MAX_IMMEDIATE_REDIRECTS = 2
 
-OnClaimed = Callable[[str, str], None]  # owner of the key and its claim's id; empty: not known
+OnClaimed = Callable[[str, str], None]  # owner of the key and id of its claim; both empty if unknown
 
 
 class PendingClaim(NamedTuple):
-    """A claim, and the callback that awaits its result."""
+    """A claim and the callback for its result."""
 
     claim: Claim
     on_claimed: OnClaimed
 
 
 class ClaimBatch:
-    """Claims submitted together; those without a result are submitted again until the deadline."""
+    """Claims that are submitted together; those without a result are resubmitted until the deadline."""
 
     def __init__(self, client: ClaimClient, claims: list[PendingClaim]) -> None:
         self._client = client
@@ -45,7 +45,7 @@
         self._attempts = 0
 
     def send(self) -> None:
-        """Submit the claims to the leader, or to the next replica if none is known."""
+        """Submit the claims to the leader, or to the next replica if no leader is known."""
         client = self._client
         if client.loop.time() >= self._deadline:
             for pending in self._claims:
@@ -101,12 +101,12 @@
 
 
 class ClaimClient:
-    """Submits this proxy's claims in batches, and remembers which replica leads.
+    """Submits this proxy's claims in batches, and remembers which replica is the leader.
 
     Attributes
     ----------
     leader : str
-        Internal address of the replica that replied last as the leader; empty if none is known.
+        Internal address of the last known leader; empty if none is known.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
         self._queued_claims: list[PendingClaim] = []
 
     def claim(self, claim: Claim, on_claimed: OnClaimed) -> None:
-        """Submit a claim; `on_claimed` is called once, at the latest one attempt after `CLAIM_DEADLINE_S`."""
+        """Submit a claim; `on_claimed` is called once, at most one attempt later than `CLAIM_DEADLINE_S`."""
         self._queued_claims.append(PendingClaim(claim, on_claimed))
         if len(self._queued_claims) == 1:
             self.loop.call_soon(self._send)
@@ -133,11 +133,11 @@
         ClaimBatch(self, queued_claims).send()
 
     def next_replica_address(self, attempt: int) -> str:
-        """Return the replica for an attempt without a known leader, in turn; empty if none is known."""
+        """Return the replica for an attempt without a known leader, in turn; empty without replicas."""
         replica_addresses = self._replica_addresses()
         return replica_addresses[attempt % len(replica_addresses)] if replica_addresses else ""
 
     def forget_leader(self, peer: str) -> None:
-        """Forget a leader that failed to order claims; a leader learned meanwhile is kept."""
+        """Forget a leader that failed to order claims, unless another leader is known by now."""
         if self.leader == peer:
             self.leader = ""
--- a/cometdoor/keys/operation_stages.py
+++ b/cometdoor/keys/operation_stages.py
@@ -1,7 +1,7 @@
-"""Stages of a keyed operation at one proxy, and the transitions between them as a table.
+"""Stages of a keyed operation at one proxy, and the table of transitions between them.
 
-`cometdoor.host.exchange.keyed_operations` has the same states with each event's actions; tests compare that
-table with the behaviour of `cometdoor.keys.operations`.
+`cometdoor.host.exchange.keyed_operations` has the same states with the actions of each event; tests compare
+that table with the behaviour of `cometdoor.keys.operations`.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class OperationStage(Enum):
-    """State of a key's operation as far as this proxy knows it."""
+    """State of a key's operation, as far as this proxy knows."""
 
     CLAIMING = "claiming"  # the claim is being ordered by the control plane
-    CLAIM_UNKNOWN = "claim unknown"  # it was not confirmed as ordered, but may still take effect
+    CLAIM_UNKNOWN = "claim unknown"  # the claim was not confirmed as ordered, but may still take effect
     NOT_STARTED = "not started"  # the key is claimed here, and nothing was executed
     RUNNING = "running"  # the request of one attempt is being executed
     DONE = "done"
-    UNKNOWN = "unknown"  # it may have been executed, and there is no response
-    REMOTE = "remote"  # another proxy holds the key and was asked for the outcome
-    FORGOTTEN = "forgotten"  # the record is removed: the next attempt claims the key anew
+    UNKNOWN = "unknown"  # the request may have been executed, and there is no response
+    REMOTE = "remote"  # another proxy owns the key and was queried for the outcome
+    FORGOTTEN = "forgotten"  # the record is removed; the next attempt claims the key again
 
 
 class OperationEvent(Enum):
-    """What may move an operation to another stage."""
+    """Events that may move an operation to another stage."""
 
     ATTEMPT = "an attempt arrives"
     CLAIM_GRANTED = "the key is claimed here"
@@ -34,12 +34,12 @@
     OWNER_RELEASED = "the owner has released the key without executing"
     OWNER_UNKNOWN = "the owner does not know the outcome"
     OWNER_RUNNING = "the owner is executing"
-    OWNER_REPLY_UNRECOGNIZED = "the owner's reply says nothing"
+    OWNER_REPLY_UNRECOGNIZED = "the owner's reply is not recognized"
     OWNER_UNREACHABLE = "the owner did not reply"
     EXECUTED = "the backend responded"
     NOT_EXECUTED = "the request was not executed and never will be"
     EXECUTION_FAILED = "the request may have been executed"
-    RELEASED = "another proxy was told that nothing was executed"
+    RELEASED = "another proxy was notified that nothing was executed"
 
 
 _Stage, _Event = OperationStage, OperationEvent
@@ -61,7 +61,7 @@
     (_Stage.REMOTE, _Event.OWNER_REPLY_UNRECOGNIZED): _Stage.FORGOTTEN,
     (_Stage.REMOTE, _Event.OWNER_UNREACHABLE): _Stage.FORGOTTEN,
 }
-"""Next stage by stage and event. An event that is not listed is late, or of a former claim: it is ignored."""
+"""Next stage by stage and event. Events that are not listed are late or of a former claim, and ignored."""
 
 REPORTED_OUTCOMES: Mapping[OperationStage, str] = {
     OperationStage.CLAIM_UNKNOWN: "unrun",
@@ -69,4 +69,4 @@
     OperationStage.DONE: "done",
     OperationStage.UNKNOWN: "unknown",
 }
-"""State in the `OperationReply` to another proxy, by stage; in the other stages it has to wait."""
+"""State in the `OperationReply` to another proxy, by stage; in other stages the reply is delayed."""
--- a/cometdoor/keys/operations.py
+++ b/cometdoor/keys/operations.py
@@ -1,12 +1,12 @@
 """Operations of idempotency keys at one proxy: each key's request is executed at most once. No I/O.
 
-A claim on a key is on the disks of a majority of the control plane before the request is sent to a backend.
-A repeated attempt, at whichever proxy it arrives, gets the response of the first execution, or an error that
-says whether the request may have been executed. An operation that was never executed may be executed under
-the same claim by the next attempt here, or by another proxy with a claim that supersedes this one.
+A claim on a key is on disk at a majority of the control plane before the request is sent to a backend. A
+repeated attempt at any proxy gets the response of the first execution, or an error that tells whether the
+request may have been executed. An operation that was never executed may be executed under the same claim by
+the next attempt here, or by another proxy with a claim that supersedes this one.
 
-Methods take the events and the time, in seconds, and return the actions to be carried out. The
-stages of an operation and what moves it from one to the next are in `operation_stages`.
+Methods take events and the time in seconds, and return the actions to carry out. `operation_stages` defines
+the stages of an operation and the events that move it from one to the next.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from cometdoor.wire.forwarding import ForwardResponse
 from cometdoor.wire.keys import OperationReply
 
-WINDOW_SLACK_S = 5.0  # records are kept longer than the window: clocks differ, and claims take a while
+WINDOW_SLACK_S = 5.0  # records outlive the window by this: clocks differ, and claims take some time
 
 
 @dataclass
@@ -39,28 +39,29 @@
     """Record of one key's operation."""
 
     key: str
-    claim_id: str  # of this proxy's newest claim on the key
-    started_at: float  # s
+    claim_id: str  # id of this proxy's latest claim on the key
+    started_at: float  # seconds
     stage: OperationStage = OperationStage.CLAIMING
     response: ForwardResponse | None = None
     waiters: list[WaiterT] = field(default_factory=list)  # attempts that wait for the outcome
     executing_waiter: WaiterT | None = None  # attempt whose request is being executed
-    outcome_listeners: list[Callable[[OperationReply], None]] = field(default_factory=list)  # other proxies
+    # Callbacks that send the outcome to other proxies which have queried it.
+    outcome_listeners: list[Callable[[OperationReply], None]] = field(default_factory=list)
 
 
 class KeyedOperations(Generic[WaiterT]):
     """Decides for each attempt with a key whether it is executed, waits, or gets an earlier outcome."""
 
     def __init__(self, incarnation: str, window_s: float) -> None:
-        """Begin without operations.
+        """Start without operations.
 
         Parameters
         ----------
         incarnation : str
-            Random, drawn at the start of this process. It is part of claim ids, so that no claim is mistaken
-            for one of a former incarnation.
+            Random id of this process. It is part of claim ids, so that no claim is mistaken for one of a
+            former incarnation.
         window_s : float
-            For how long after the first attempt a repeated one is recognised, seconds.
+            Time after the first attempt in which a repeated one is recognised, in seconds.
         """
         self._incarnation = incarnation
         self._window_s = window_s + WINDOW_SLACK_S
@@ -69,7 +70,7 @@
         self._counts: Counter[str] = Counter()
 
     def report(self) -> dict[str, int]:
-        """Return how attempts with keys ended since the last report, for the log."""
+        """Return counts of the results of attempts with keys since the last report, for the log."""
         counts, self._counts = self._counts, Counter()
         return dict(counts)
 
@@ -81,7 +82,7 @@
         return f"{self._incarnation}.{self._last_claim_number}"
 
     def _advance(self, operation: Operation[WaiterT], event: OperationEvent) -> bool:
-        """Move an operation to its next stage; False if the event does not apply to the current one."""
+        """Move an operation to its next stage; return False if the event does not apply to its stage."""
         next_stage = TRANSITIONS.get((operation.stage, event))
         if next_stage is None:
             return False
@@ -117,7 +118,7 @@
                 return []
 
     def abandon(self, key: str, waiter: WaiterT, is_timed_out: bool = False) -> list[Action[WaiterT]]:
-        """Remove an attempt that no longer waits; an execution on its behalf goes on.
+        """Remove an attempt that no longer waits; an execution on its behalf continues.
 
         Parameters
         ----------
@@ -126,7 +127,7 @@
         waiter : WaiterT
             The attempt.
         is_timed_out : bool
-            True: its client is still connected and gets an answer. False: the client has disconnected.
+            True if the client is still connected and gets an answer, False if it has disconnected.
         """
         operation = self._operations.get(key)
         if operation is None or waiter not in operation.waiters:
@@ -134,7 +135,7 @@
         operation.waiters.remove(waiter)
         if not is_timed_out:
             return []
-        # While claiming, nothing was executed. Later another attempt's execution may be under way.
+        # While claiming, nothing was executed. After that another attempt may be executing.
         is_claiming = operation.stage is OperationStage.CLAIMING
         self._counts["claim_too_late" if is_claiming else "at_work"] += 1
         return [Reject(waiter) if is_claiming else ReportInProgress(waiter)]
@@ -151,15 +152,15 @@
     # --- claims ---
 
     def on_claimed(self, key: str, owner: str, claim_id: str) -> list[Action[WaiterT]]:
-        """Continue with the control plane's answer to a claim.
+        """Process the control plane's answer to a claim.
 
         Parameters
         ----------
         key : str
             The key that was claimed.
         owner, claim_id : str
-            Owner of the key now, and its claim's id. The id is empty if the claim could not be ordered; the
-            claim may still take effect then, unless the owner is `KEYS_CLOSED`.
+            Current owner of the key and id of its claim. The id is empty if the claim could not be ordered;
+            the claim may still take effect then, unless the owner is `KEYS_CLOSED`.
         """
         operation = self._operations.get(key)
         if operation is None or operation.stage is not OperationStage.CLAIMING:
@@ -182,7 +183,7 @@
         return [QueryOwner(key, owner, claim_id)]
 
     def on_owner_reply(self, key: str, claim_id: str, reply: OperationReply | None) -> list[Action[WaiterT]]:
-        """Continue with the reply of the proxy that holds the key; None if it did not reply."""
+        """Process the reply of the proxy that owns the key, which is None if it did not reply."""
         operation = self._operations.get(key)
         event = _owner_reply_event(reply)
         if operation is None or not self._advance(operation, event):
@@ -248,13 +249,13 @@
     # --- other proxies ---
 
     def on_outcome_query(self, key: str, claim_id: str, respond: Callable[[OperationReply], None]) -> None:
-        """Report the outcome of a local claim to another proxy, at once or when it is known."""
+        """Report the outcome of a local claim to another proxy, now or once it is known."""
         operation = self._operations.get(key)
         if operation is None or operation.claim_id != claim_id:
             respond(OperationReply("unknown"))
             return
         if operation.stage is OperationStage.REMOTE:
-            # The claim here lost: the other proxy will learn from the control plane which one is in force.
+            # The local claim lost: the other proxy will get the valid one from the control plane.
             respond(OperationReply("running"))
             return
         operation.outcome_listeners.append(respond)
@@ -266,13 +267,13 @@
         if not outcome_listeners:
             return
         reply = OperationReply(REPORTED_OUTCOMES[operation.stage], operation.response)
-        # A released key may be claimed by the other proxy now: the next attempt here must claim it again.
+        # The other proxy may claim a released key now, so the next attempt here must claim it again.
         self._advance(operation, OperationEvent.RELEASED)
         for respond in outcome_listeners:
             respond(reply)
 
     def expire(self, now: float) -> None:
-        """Forget operations older than the window, except those that are being executed."""
+        """Remove operations older than the window, except those that are being executed."""
         for key in list(self._operations):
             operation = self._operations[key]
             if operation.started_at + self._window_s > now:
--- a/stories/budget/test_budget.py
+++ b/stories/budget/test_budget.py
@@ -1,4 +1,4 @@
-"""One retry budget over many proxies: its total and its distribution (simulation/retry_budget.py)."""
+"""One retry budget shared by many proxies: its total and distribution (simulation/retry_budget.py)."""
 
 from unittest import mock
 
@@ -19,7 +19,7 @@
 
 @test("budget that some proxies do not use is leased to those with demand within seconds")
 def _() -> None:
-    # Given nine proxies of which three demand as many retries as they can get
+    # Given nine proxies, of which three demand as many retries as they can get
     mesh = BudgetMesh(9, 1)
     for proxy in mesh.proxies:
         proxy.requests_per_s = 600.0 / 9
@@ -28,7 +28,7 @@
         proxy.wanted_retries_per_s = 100.0
     # When ten seconds have passed
     mesh.advance(10.0)
-    # Then they use over half of the budget, three times their local allowances; in the end 0.7 of it
+    # Then the three use over half of the budget and three times their local allowances; later over 0.7 of it
     now = mesh.now
     assert mesh.retries_used(now) > 0.55 * mesh.retries_allowed(now)
     assert mesh.retries_used(now) > 3 * 3 * mesh.proxies[0].share.local_allowance(now)
@@ -102,7 +102,7 @@
 
 
 def peak_after_restarts() -> float:
-    """Return the peak share where fifteen proxies restart seven times in a window, without a request."""
+    """Return the peak share used if fifteen proxies restart seven times in a window without any request."""
     mesh = BudgetMesh(15, 1)
     for proxy in mesh.proxies:
         proxy.wanted_retries_per_s = 10.0
--- a/stories/dataplane/test_heartbeats.py
+++ b/stories/dataplane/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats, and the lifecycle of the local backend."""
+"""Heartbeats and the lifecycle of the local backend."""
 
 from ward import each, raises, test
 
--- a/stories/dataplane/test_outbound_requests.py
+++ b/stories/dataplane/test_outbound_requests.py
@@ -1,4 +1,4 @@
-"""Requests that the outbound proxy keeps of its clients."""
+"""Client requests that the outbound proxy keeps until they are answered."""
 
 from types import SimpleNamespace
 from typing import Any, cast
--- a/stories/dataplane/test_service_client.py
+++ b/stories/dataplane/test_service_client.py
@@ -1,4 +1,4 @@
-"""What callers are notified of when an attempt's connection fails to open or is lost."""
+"""Notifications of callers when the connection of an attempt fails to open or is lost."""
 
 import asyncio
 import random
@@ -44,7 +44,7 @@
 
 
 class ServiceClientHarness:
-    """A service client on machine `a`, and an inbound proxy on `b` that answers with `reply`."""
+    """A service client on machine `a` and an inbound proxy on `b` that answers with `reply`, if given."""
 
     def __init__(self, loop: VirtualLoop, reply: Message | None = None) -> None:
         self.loop = loop
@@ -92,9 +92,9 @@
 
 @contextmanager
 def virtual_harness() -> Iterator[ServiceClientHarness]:
-    """Yield a harness in virtual time from the start.
+    """Yield a harness that uses virtual time from the start.
 
-    A clock that is replaced later would run backwards for the decision module, by the uptime of the machine.
+    If the clock were replaced later, time would jump back for the decision module by the machine's uptime.
     """
     loop = VirtualLoop()
     with mock.patch.object(time, "monotonic", loop.time):
--- a/stories/dataplane/test_slots.py
+++ b/stories/dataplane/test_slots.py
@@ -54,18 +54,18 @@
 
 @test("in a long overload urgent requests are served, and each other kind keeps a share")
 def _() -> None:
-    # Given one slot and three times the work that it can do: urgent requests alone take 0.4 of it
+    # Given one slot and three times the work that it can execute; urgent requests alone take 0.4 of the slot
     slots, now = ConcurrencySlots(), 0.0
     execution_ms = {QUICK: 50.0, SLOW: 150.0, URGENT: 80.0}
     interval_ms = {QUICK: 30.0, SLOW: 160.0, URGENT: 200.0}
     offered, served = Counter[RequestKind](), Counter[RequestKind]()
-    due = dict.fromkeys(execution_ms, 0.0)
+    next_arrival_ms = dict.fromkeys(execution_ms, 0.0)
     in_flight: tuple[SlotRequest, float] | None = None
     for now in map(float, range(60_000)):
-        # When each kind arrives at its interval, for a minute
-        for kind, at in due.items():
+        # When requests of each kind arrive at its interval for a minute
+        for kind, at in next_arrival_ms.items():
             if now >= at:
-                due[kind] = at + interval_ms[kind]
+                next_arrival_ms[kind] = at + interval_ms[kind]
                 offered[kind] += 1
                 request = slots.new_request(kind, 3000.0, now)
                 slots.submit(request, now)
@@ -149,12 +149,12 @@
 @test("a surge is forgotten within three seconds of its end, however many requests were rejected in it")
 def _() -> None:
     throttle, now = AdaptiveThrottle(random.Random(6)), 0.0
-    for _ in range(6000):  # for three seconds two thousand a second, of which hardly any finds a slot
+    for _ in range(6000):  # 2,000 requests a second for three seconds, none of which gets a slot
         now += 0.5
         throttle.admit(now)
         throttle.record_acceptance(False, now)
     assert throttle.admitted_share < 0.6
-    for _ in range(120):  # then forty a second, all of which do
+    for _ in range(120):  # then 40 requests a second, all of which get a slot
         now += 25.0
         if throttle.admit(now):
             throttle.record_acceptance(True, now)
--- a/stories/keys/test_operations.py
+++ b/stories/keys/test_operations.py
@@ -1,4 +1,4 @@
-"""One operation per key, over two proxies and the control plane's state machine in memory."""
+"""One operation per key, with two proxies and an in-memory state machine of the control plane."""
 
 from ward import test
 
@@ -21,14 +21,14 @@
 
 
 class Fleet:
-    """Some proxies and one table of claims; an attempt is a string."""
+    """Several proxies and one state machine with their claims; an attempt is a string."""
 
     def __init__(self, *names: str) -> None:
         self.state = StateMachine(60.0)
         self.proxies = {name: KeyedOperations[str](name, 60.0) for name in names}
         self.executions: list[tuple[str, str]] = []  # proxy and attempt
         self.outcomes: dict[str, str] = {}
-        self.lost_claim_replies = 0  # so many replies of the control plane are lost
+        self.lost_claim_replies = 0  # number of next replies of the control plane that are lost
 
     def on_attempt(self, proxy: str, attempt: str, key: str = "k") -> None:
         self.carry_out(proxy, self.proxies[proxy].on_attempt(key, attempt, 0.0))
--- a/tests/dataplane/test_golden_heartbeats.py
+++ b/tests/dataplane/test_golden_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of backends are read as by commit 4033f28 (fixtures/heartbeats.json), whose code wrote it."""
+"""Heartbeats are parsed as recorded in fixtures/heartbeats.json, which the code of commit 4033f28 wrote."""
 
 from __future__ import annotations
 
