--- a/cometdoor/budget/lease.py
+++ b/cometdoor/budget/lease.py
@@ -15,7 +15,7 @@
 LEASE_DURATION_S = 2.5  # validity of a grant, counted from its request
 # Validity of an offer, counted from its arrival at the leader: two reports may be lost.
 OFFER_DURATION_S = 8.0
-MAX_REPORT_AGE_S = 6.0  # reports that refer to an older grant of the leader are ignored
+MAX_REPORT_AGE_S = 6.0  # reports whose last received grant is older are ignored
 MAX_CLOCK_DRIFT_FACTOR = 1.05  # largest ratio between the rates of two monotonic clocks
 
 
--- a/cometdoor/budget/lease_client.py
+++ b/cometdoor/budget/lease_client.py
@@ -13,8 +13,8 @@
 from cometdoor.wire.peer_connection import PeerError
 
 TICK_INTERVAL_S = 0.25  # interval of updates of the floors
-SHORTAGE_REPORT_INTERVAL_S = 1.0  # while the proxy is short of budget or has a grant
-REPORT_INTERVAL_S = 3.0  # otherwise
+SHORTAGE_REPORT_INTERVAL_S = 1.0  # interval of reports while the proxy is short of budget or has a grant
+REPORT_INTERVAL_S = 3.0  # interval of reports otherwise
 
 
 class BudgetShares:
--- a/cometdoor/budget/share.py
+++ b/cometdoor/budget/share.py
@@ -60,7 +60,7 @@
         self._unmet_demand_at = now
 
     def record_repeated_call(self, count: float, now: float) -> None:
-        """Count a call of a repeated execution; a `count` below 1 is the probability that it is one."""
+        """Count a call of a repeated execution; a `count` below 1 is an estimated probability."""
         self._repeated_calls.add(count, now)
 
     # --- allowed retries ---
@@ -104,7 +104,8 @@
         used = self._retries.sum(now) + self._repeated_calls.sum(now)
         if not requests and not used:
             return None
-        # A grant ends the shortage. The demand continues, or the shortage would return when it expires.
+        # A grant ends the shortage, but the demand continues: otherwise the shortage would return when the
+        # grant expires.
         if self.is_short_of_budget(now, proxy_count) or self.has_grant(now):
             # Earlier offers may still be in use at other proxies, and count like own use.
             wanted_retries = (
--- a/cometdoor/dataplane/adaptive_throttling.py
+++ b/cometdoor/dataplane/adaptive_throttling.py
@@ -25,7 +25,7 @@
 # 3 s in total, all requests were retried 3 s later.
 WINDOW_COUNT = 3
 # A window counts for at most this many requests. Without the limit, a surge outweighed the few requests that
-# were admitted after it, all of them served, for ten seconds, and more and more requests were throttled.
+# were admitted, and all served, in the ten seconds after it, and more and more requests were throttled.
 MAX_WINDOW_WEIGHT = 16.0
 DECREASE_BELOW_SUCCESS_RATE = 0.75  # the admitted share falls below this success rate
 INCREASE_ABOVE_SUCCESS_RATE = 0.85  # the admitted share grows above this success rate
--- a/cometdoor/dataplane/keyed_requests.py
+++ b/cometdoor/dataplane/keyed_requests.py
@@ -25,7 +25,7 @@
 from cometdoor.wire.log_entries import Claim
 from cometdoor.wire.peer_connection import PeerError
 
-KEY_WAIT_MAX_SHARE = 0.9  # of an attempt's remaining time, for which it waits for a claim or an execution
+KEY_WAIT_MAX_SHARE = 0.9  # share of its remaining time that an attempt waits for a claim or an execution
 KEY_RETRY_AFTER_MS = 150.0  # after a rejection; an election takes a few tenths of a second
 KEY_EXPIRY_INTERVAL_S = 5.0  # interval between removals of expired keys
 StartExecution = Callable[[ResponseListener[ForwardResponse], ClientRequest, Route], None]
--- a/cometdoor/keys/claims.py
+++ b/cometdoor/keys/claims.py
@@ -23,7 +23,8 @@
 # change two replicas may redirect to each other.
 MAX_IMMEDIATE_REDIRECTS = 2
 
-OnClaimed = Callable[[str, str], None]  # owner of the key and id of its claim; both empty if unknown
+# Called with the owner of the key and the id of its claim; the id is empty if the claim was not confirmed.
+OnClaimed = Callable[[str, str], None]
 
 
 class PendingClaim(NamedTuple):
@@ -115,7 +116,7 @@
         connections: PeerConnections,
         replica_addresses: Callable[[], list[str]],
     ) -> None:
-        """Set up the client; `replica_addresses` returns internal addresses, the likeliest leader first."""
+        """Set up the client; `replica_addresses` returns internal addresses, the probable leader first."""
         self.loop = loop
         self.connections = connections
         self.leader = ""
