--- a/cometdoor/host/__init__.py
+++ b/cometdoor/host/__init__.py
@@ -1,1 +1,1 @@
-"""The host of one balancer: requests, attempts, settings, and tables of exchanges. It knows no protocol."""
+"""Protocol-independent host of one balancer: requests, attempts, settings, and tables of exchanges."""
--- a/cometdoor/host/active_requests.py
+++ b/cometdoor/host/active_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are open at a host, and their attempts."""
+"""Open requests of a host, and their attempts."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class ActiveRequest(Generic[RequestT, ResponseT]):
-    """A request whose client waits, or that has an attempt in flight.
+    """A request whose client waits for a response, or that has an attempt in flight.
 
     Attributes
     ----------
     client : ResponseListener | None
-        The client that waits; None once it has its response or has disconnected.
+        The client that waits for a response; None once it has received one or has disconnected.
     expires_at_ms : float
         When its attempts time out, on the host's clock.
     attempts : list[ActiveAttempt]
-        In the order in which they were sent.
+        All attempts, in the order in which they were sent.
     timer : Timer | None
-        For the host's own failure response shortly before the client's deadline.
+        Timer of the host's own failure response shortly before the client's deadline.
     """
 
     __slots__ = ("attempts", "client", "expires_at_ms", "id", "request", "timer")
--- a/cometdoor/host/attempt_outcome.py
+++ b/cometdoor/host/attempt_outcome.py
@@ -1,10 +1,11 @@
-"""Results of attempts: whether the request was executed, and how much that speaks against the server.
-
-No I/O. A transport reports how far an exchange had come and how it ended; the tables below give the result.
-"Not executed" is claimed only where it is certain: nobody has read a byte that was not written (RFC 9112,
-9.3.1, and RFC 9110, 9.2.2). The blame is a weight for the balancer's outlier detection, from -1 (a normal
-response) to 1 (the way in which an unhealthy server ends all requests). The end of an idle connection is not
-blamed on the server; what the network may have caused is marked as such.
+"""Results of attempts: whether the request was executed, and how far a failure is blamed on the server.
+
+This module does no I/O. A transport reports how far an exchange had come and how it ended; the tables below
+give the result. A request counts as not executed only where that is certain, because a server can't read
+bytes that were not written (RFC 9112, 9.3.1, and RFC 9110, 9.2.2). The blame is a weight for the balancer's
+outlier detection, from -1 (a normal response) to 1 (a failure by which an unhealthy server ends all
+requests). A connection that was closed while idle is not blamed on the server, and failures that the network
+may have caused are marked as such.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class AttemptStage(Enum):
-    """How far an exchange had come, as seen by the end that sends the request."""
+    """How far an exchange had come, as seen by the sender of the request."""
 
     CONNECTING = "connecting"
     CONNECTED = "connected"  # no byte of the request was written
@@ -28,28 +29,28 @@
 class FailureKind(Enum):
     """How an exchange ended without a response."""
 
-    REFUSED = "refused"  # no process listens there
-    RESET = "reset"  # or the host can't be reached
-    CLOSED = "closed"  # by the other side, without an error
+    REFUSED = "refused"  # no process listens at the address
+    RESET = "reset"  # the connection was reset, or the host is unreachable
+    CLOSED = "closed"  # the other side closed the connection without an error
     TIMED_OUT = "timed out"
-    MALFORMED = "malformed"  # the received bytes are no valid response
-    TOO_LARGE = "too large"  # the response exceeds the limit for forwarding, or the memory that is left
+    MALFORMED = "malformed"  # the received bytes are not a valid response
+    TOO_LARGE = "too large"  # the response exceeds the limit for forwarding, or the available memory
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The end of one attempt, for the balancer.
+    """The result of one attempt, for the balancer.
 
     Attributes
     ----------
     outcome : Outcome
         Whether it succeeded, failed, or was not executed.
     blame : float | None
-        How much it speaks against the server, -1 to 1; None: the decision module's default for the outcome.
+        Weight against the server, -1 to 1; None: the decision module's default for the outcome.
     closed_while_idle : bool
-        Whether the connection was most likely closed while it was idle; others to that server may be, too.
+        Whether the connection was probably closed while idle; others to that server may be closed, too.
     may_be_network_fault : bool
-        Whether the fault may be the network's instead of the server's.
+        Whether the failure may be due to the network instead of the server.
     """
 
     outcome: Outcome
@@ -63,8 +64,8 @@
         return self.outcome in NOT_EXECUTED
 
 
-# On a fresh connection. Combinations that are missing are impossible, such as the close or a malformed
-# response of a connection that is not open yet.
+# Results on a fresh connection. Missing combinations are impossible, such as a close or a malformed response
+# on a connection that is not open yet.
 FRESH_CONNECTION_RESULTS = {
     (AttemptStage.CONNECTING, FailureKind.REFUSED): AttemptResult(Outcome.CONNECT_FAILED, 1.0),
     (AttemptStage.CONNECTING, FailureKind.RESET): AttemptResult(
@@ -73,8 +74,8 @@
     (AttemptStage.CONNECTING, FailureKind.TIMED_OUT): AttemptResult(
         Outcome.CONNECT_FAILED, 0.5, may_be_network_fault=True
     ),
-    # The connection was accepted, and ended before any byte was read: by a listener without a process behind
-    # it, a full connection table, or a middlebox.
+    # The connection was accepted, and ended before any byte was read: by a listener without a serving
+    # process, a full connection table, or a middlebox.
     (AttemptStage.CONNECTED, FailureKind.RESET): AttemptResult(
         Outcome.DISCONNECTED, 0.5, may_be_network_fault=True
     ),
@@ -86,7 +87,7 @@
     ),  # the deadline passed while the connection opened
     (AttemptStage.CONNECTED, FailureKind.MALFORMED): AttemptResult(
         Outcome.DISCONNECTED, 0.5
-    ),  # the server sends bytes before it has a request
+    ),  # the server sent bytes before it had received a request
     (AttemptStage.PARTIALLY_WRITTEN, FailureKind.RESET): AttemptResult(
         Outcome.DISCONNECTED, 0.7, may_be_network_fault=True
     ),
@@ -108,8 +109,8 @@
     (AttemptStage.RECEIVING, FailureKind.MALFORMED): AttemptResult(Outcome.ERROR, 0.7),
     (AttemptStage.RECEIVING, FailureKind.TOO_LARGE): AttemptResult(Outcome.ERROR, 0.0),
 }
-# A reused connection that ends before any byte of a response has most likely been closed while it was idle:
-# by the server's idle timeout, or by a middlebox. Other connections of its age are likely dead as well.
+# A reused connection that ends before any byte of a response was probably closed while it was idle, by the
+# server's idle timeout or by a middlebox. Other connections of the same age are probably closed as well.
 REUSED_CONNECTION_RESULTS = FRESH_CONNECTION_RESULTS | {
     (stage, failure): AttemptResult(
         FRESH_CONNECTION_RESULTS[stage, failure].outcome,
@@ -122,7 +123,7 @@
 }
 
 
-# For servers that may start on part of a request: a partially written one counts as a written one.
+# For servers that may execute an incomplete request: a partially written request counts as a written one.
 PARTIAL_REQUEST_OUTCOMES = {
     (AttemptStage.PARTIALLY_WRITTEN, FailureKind.RESET): Outcome.RESET,
     (AttemptStage.PARTIALLY_WRITTEN, FailureKind.CLOSED): Outcome.RESET,
@@ -144,7 +145,7 @@
     is_reused
         Whether the connection was idle before the exchange.
     partial_request_may_run
-        Whether the server may execute a request of which it has received only a part.
+        Whether the server may execute a request that it has received only in part.
 
     Raises
     ------
@@ -158,8 +159,8 @@
 
 
 def result_of_response(outcome: Outcome) -> AttemptResult:
-    """Return the result of an attempt by its outcome alone, such as that of a complete response.
+    """Return the result of an attempt that follows from its outcome, such as that of a complete response.
 
-    A rejection is not blamed on the server: it is a sign of load, not of a fault.
+    A rejection is not blamed on the server, because it is a sign of load and not of a fault.
     """
     return AttemptResult(outcome, {Outcome.OK: -1.0, Outcome.REJECTED: 0.0, Outcome.ERROR: 0.5}.get(outcome))
--- a/cometdoor/host/balancer_host.py
+++ b/cometdoor/host/balancer_host.py
@@ -1,9 +1,9 @@
 """The host of one balancer: open requests, their attempts, and a response to each before its deadline.
 
-It knows no protocol, and leaves the decisions to the balancer. A frontend passes it a request and the client
-that waits for the response; a transport sends attempts and reports how they ended. Events are handled by
-`Balancer.handle` one at a time, and its actions are executed in order. Events that occur during an action are
-queued until all actions of the current event are executed.
+The host does not depend on a protocol, and leaves the decisions to the balancer. A frontend passes it a
+request and the client that waits for the response; a transport sends attempts and reports how they ended.
+Events are handled by `Balancer.handle` one at a time, and its actions are executed in order. Events that
+occur during an action are queued until all actions of the current event are executed.
 """
 
 from __future__ import annotations
@@ -31,27 +31,28 @@
 
 log = logging.getLogger(__name__)
 
-# The client's timeout starts when it sends the request, and ends when it has the complete response. This much
-# of it is reserved for the network in both directions, and for delays of the event loop.
+# The part of the client's timeout that is reserved for the network in both directions and for delays of the
+# event loop. The timeout starts when the client sends the request, and ends when it has the complete
+# response.
 RESPONSE_MARGIN_MS = 20.0
-MAX_MARGIN_SHARE = 0.25  # limits the margin to this share of the remaining time
-# Share of the margin for the balancer to respond once its attempts have timed out; then the host itself does.
+MAX_MARGIN_SHARE = 0.25  # maximum of the margin, as a share of the remaining time
+# Share of the margin that the balancer has to respond after its attempts timed out; then the host responds.
 FALLBACK_MARGIN_SHARE = 0.5
-# Share of the latency target; equal to `balancer.MAX_QUEUE_WAIT_SHARE`, the longest wait for capacity.
+# Suggested retry delay as a share of the latency target; equal to `balancer.MAX_QUEUE_WAIT_SHARE`, the
+# longest wait for capacity.
 RETRY_AFTER_TARGET_SHARE = 0.25
 
 
 class BalancerHost(Generic[RequestT, ResponseT]):
     """Executes the actions of one balancer, and reports events to it.
 
-    It also guarantees what must hold whatever the balancer does: each client gets at most one response, each
-    attempt has one outcome, and a request is failed shortly before its deadline if nothing else has answered
-    it.
+    It also guarantees, whatever the balancer does, that each client gets at most one response, that each
+    attempt has one outcome, and that a request without a response fails shortly before its deadline.
 
     Attributes
     ----------
     max_waiting : int | None
-        How many requests may wait for their first attempt; None: any number.
+        Maximum number of requests that wait for their first attempt; None: no limit.
     observer : AttemptObserver | None
         Notified of endpoint lists and attempts.
     """
@@ -81,7 +82,7 @@
         on_finished
             Called once for each request, when its client has a response and no attempt is in flight.
         parse_load_report
-            Returns the load report of a response, where servers send one.
+            Returns the load report of a response; empty if the response has none.
         """
         self.max_waiting: int | None = None
         self.observer: AttemptObserver | None = None
@@ -135,7 +136,7 @@
         try:
             actions = self._balancer.handle(event, self._clock.now_ms())
         except Exception:
-            # A fault in the balancer must cost no more than the request that the event concerns.
+            # A fault in the balancer must not affect requests other than the event's own.
             log.exception("balancer failed on %s; its request fails", type(event).__name__)
             if isinstance(
                 event, api.RequestArrived | api.AttemptEnded | api.ClientDisconnected | api.StreamStarted
@@ -163,7 +164,7 @@
         self._dispatch(event)
 
     def accept(self, client: ResponseListener[ResponseT], request: RequestT) -> None:
-        """Start to serve a request; `client` gets the response, and has no other request open."""
+        """Start to serve a request; `client` gets the response, and must have no other open request."""
         self._last_id += 1
         remaining_ms = request.remaining_ms
         margin_ms = min(RESPONSE_MARGIN_MS, MAX_MARGIN_SHARE * remaining_ms)
@@ -193,7 +194,7 @@
             self._reject_unsent(active)
 
     def _reject_unsent(self, active: ActiveRequest[RequestT, ResponseT]) -> None:
-        """Reject a request if it has no attempt yet: a retry is harmless, and at once is better than late."""
+        """Reject a request if it has no attempt yet: a retry is safe, and early is better than late."""
         if active.attempts:
             return
         client = self._detach_client(active)
@@ -203,7 +204,7 @@
             self._clean_up(active)
 
     def on_client_disconnected(self, client: ResponseListener[ResponseT]) -> None:
-        """Cancel the client's request, if it has one open."""
+        """Cancel the client's open request, if any."""
         active = self._by_client.get(client)
         if active is not None:
             self._detach_client(active)
--- a/cometdoor/host/clock.py
+++ b/cometdoor/host/clock.py
@@ -12,7 +12,7 @@
     """A scheduled call."""
 
     def cancel(self) -> None:
-        """Cancel the call; no effect once it was made."""
+        """Cancel the call; has no effect after the call was made."""
 
 
 class Clock(Protocol):
@@ -22,7 +22,7 @@
         """Return the time in milliseconds on a monotonic clock."""
 
     def call_at(self, due_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call once, never early: after an early timeout the balancer would have time for a useless retry."""
+        """Call once, never early: after an early timeout the balancer would start a useless retry."""
 
 
 def now_ms() -> float:
--- a/cometdoor/host/connection_reuse.py
+++ b/cometdoor/host/connection_reuse.py
@@ -1,33 +1,34 @@
-"""Estimates up to which idle time a connection to a server is worth reusing. No I/O.
+"""Estimates up to which idle time a connection to a server is worth reusing, without I/O.
 
-A Kaplan-Meier estimate of the survival of idle connections: each connection that the other side closed, while
-idle or at the next request, is a death at that age; each one that carried another response has survived its
-age. An idle timeout of a server, or of a middlebox that drops connections silently, shows as a steep drop at
-one age; occasional restarts hardly show.
+This is a Kaplan-Meier estimate of the survival of idle connections. A connection that the other side closed,
+while idle or at the next request, counts as a death at that age; one that carried another response has
+survived its age. An idle timeout of a server, or of a middlebox that drops connections silently, shows as a
+steep drop at one age; occasional restarts have little effect.
 """
 
 from __future__ import annotations
 
 import math
 
-MIN_IDLE_S = 0.05  # a connection that ends earlier was closed with the response, not for being idle
-BIN_GROWTH = 1.25  # ratio of the ages of one bin to those of the previous one
+MIN_IDLE_S = 0.05  # a connection that ends earlier was closed with the response, not by an idle timeout
+BIN_GROWTH = 1.25  # ratio of the ages in one bin to those in the previous one
 MAX_BIN = 36  # index of the last bin, which holds all ages above about 150 s
 MAX_OBSERVATIONS = 128.0
 DECAY_FACTOR = 0.5  # applied to all observations when there are `MAX_OBSERVATIONS`
-# The largest acceptable probability that a connection is dead. A handshake costs a round trip. An idempotent
-# request that is lost costs the same and one of its few attempts, so one in ten is acceptable. A request that
-# is not idempotent can't be retried: a hundred handshakes cost less than the loss of one.
+# The largest acceptable probability that a reused connection is closed. A new connection costs a round trip.
+# The loss of an idempotent request costs the same and one of its few attempts, so one in ten is acceptable. A
+# request that is not idempotent can't be retried: a hundred handshakes cost less than the loss of one such
+# request.
 MAX_RISK_IDEMPOTENT, MAX_RISK_NON_IDEMPOTENT = 0.1, 0.01
-# Connections that are assumed to have survived every age. Few, so that one death among few observations
-# counts: the next connection is likely to end at the same age.
+# Number of connections that are assumed to have survived every age. It is small so that one death among few
+# observations counts: the next connection is likely to end at the same age.
 PRIOR_SURVIVORS = 4.0
 # Of the requests for which an idle connection is too old by the estimate, one in this many uses it
-# nevertheless. Without these trials an estimate that was once bad for all ages (after a crash, a burst of
-# lost responses) was never corrected: proxies opened a connection for each request for a day.
+# nevertheless. Without these trials, an estimate that became bad for all ages (after a crash or a burst of
+# lost responses) was never corrected, and proxies opened a connection for each request for a day.
 TRIAL_INTERVAL_CALLS = 50
 DISPROVED_FACTOR = 0.5  # applied to the deaths up to an age when a connection of that age carries a response
-MIN_OWN_OBSERVATIONS = 20.0  # from which a server's own estimate is used alone; fewer are too noisy
+MIN_OWN_OBSERVATIONS = 20.0  # minimum for using a server's own estimate alone; fewer are too noisy
 
 
 def _bin_of(idle_s: float) -> int:
@@ -35,7 +36,7 @@
 
 
 class ServerConnectionReuse:
-    """The estimate for one server; ages are seconds since the connection's last response."""
+    """The estimate for one server; an age is the time since the connection's last response, in seconds."""
 
     __slots__ = ("_closed_by_bin", "_closed_probabilities", "_reused_by_bin")
 
@@ -55,7 +56,7 @@
             self._count(self._reused_by_bin, idle_s)
 
     def discount_closures(self, idle_s: float) -> None:
-        """Halve the deaths up to this age: a connection that the estimate counts as dead has served at it."""
+        """Halve the deaths up to this age if the estimate wrongly counts this connection as closed."""
         if self.closed_probability(idle_s) > MAX_RISK_IDEMPOTENT:
             for bin_index in self._closed_by_bin:
                 if bin_index <= _bin_of(idle_s):
@@ -106,7 +107,7 @@
     """The estimates for all servers of a pool.
 
     A server with few observations is assumed to behave like the others. With separate estimates only, each of
-    eight servers lost two or three requests before its own estimate showed what one server had shown before.
+    eight servers lost two or three requests before its estimate showed what that of another one had shown.
     """
 
     def __init__(self) -> None:
--- a/cometdoor/host/dataclass_settings.py
+++ b/cometdoor/host/dataclass_settings.py
@@ -1,7 +1,7 @@
-"""Settings and configurations as mashumaro dataclasses, for processes of the mesh.
+"""Settings and configurations of the mesh's processes as mashumaro dataclasses.
 
-mashumaro converts the text "5" to a number, so every value is checked before it is converted. Unknown keys
-are ignored, since newer versions of these documents may have more keys.
+mashumaro converts the string "5" to a number, so every value is checked before it is converted. Unknown keys
+are ignored, because newer versions of these documents may have more keys.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 TYPE_DESCRIPTIONS: dict[type, str] = {
     dict: "a table",
     list: "a list",
-    str: "a text",
-    bool: "a truth value",
-    type(None): "nothing",
-    int: "a whole number",
+    str: "a string",
+    bool: "a boolean",
+    type(None): "null",
+    int: "an integer",
     float: "a number",
 }
 
 
 class CheckedModel(DataClassDictMixin):
-    """Base of the dataclasses that describe a settings file or a request body, or a table in one."""
+    """Base class of dataclasses for a settings file, a request body, or a table in one of these."""
 
     class Config(BaseConfig):
-        """Serialization uses the keys of the file, with hyphens."""
+        """Makes serialization use the keys of the file, which have hyphens."""
 
         serialize_by_alias = True
 
@@ -42,12 +42,12 @@
 
 
 def key_of(field: dataclasses.Field[Any]) -> str:
-    """Return the key that a dataclass field has in the file."""
+    """Return the key of a dataclass field in the file."""
     return str(field.metadata.get("alias", field.name))
 
 
 def aliased(alias: str, **options: Any) -> Any:
-    """Return a dataclass field whose key in the file is `alias`; `options` go to `dataclasses.field`."""
+    """Return a dataclass field with the key `alias`; `options` are passed to `dataclasses.field`."""
     return dataclasses.field(metadata={"alias": alias}, **options)
 
 
@@ -66,9 +66,9 @@
     expected_type
         The dataclass.
     file
-        Named in the problems.
+        Name of the file, for the problems.
     find_problems
-        Returns the problems of the converted data that types can't express.
+        Returns the problems of the converted data that its types don't exclude.
 
     Raises
     ------
@@ -94,8 +94,8 @@
     """Checks values against dataclasses and the types of their fields."""
 
     def describe(self, value: object) -> str:
-        """Return an operator's word for the type of a value."""
-        return TYPE_DESCRIPTIONS.get(type(value), "that")
+        """Return a description of a value's type for operators."""
+        return TYPE_DESCRIPTIONS.get(type(value), "a value of another type")
 
     def check(self, value: object, expected_type: Any, path: str) -> None:
         """Add the problems of a value and of all values in it."""
@@ -115,13 +115,13 @@
                 self._add_mismatch(path, "a finite number", value)
         elif expected_type is int:
             if isinstance(value, bool) or not isinstance(value, int):
-                self._add_mismatch(path, "a whole number", value)
+                self._add_mismatch(path, "an integer", value)
         elif (
             isinstance(expected_type, type)
             and expected_type is not object
             and not isinstance(value, expected_type)
         ):
-            self._add_mismatch(path, "a text" if expected_type is str else expected_type.__name__, value)
+            self._add_mismatch(path, "a string" if expected_type is str else expected_type.__name__, value)
 
     def _check_dataclass(self, value: object, expected_type: type, path: str) -> None:
         if not self.is_table(value, path):
@@ -135,4 +135,4 @@
                 self.problems.append((join_path(path, key), "missing"))
 
     def _add_mismatch(self, path: str, needed: str, value: object) -> None:
-        self.problems.append((path, f"{needed} is needed, not {self.describe(value)}"))
+        self.problems.append((path, f"{needed} is expected, not {self.describe(value)}"))
--- a/cometdoor/host/endpoint_addresses.py
+++ b/cometdoor/host/endpoint_addresses.py
@@ -10,16 +10,16 @@
 
 
 class EndpointAddresses:
-    """Keeps the addresses of the listed servers, and retires the connections to those that have changed.
+    """Stores the addresses of the listed servers, and retires the connections to servers that have changed.
 
     Attributes
     ----------
     by_name : dict[str, Address]
-        The addresses of all servers that attempts may be sent to.
+        The addresses of all servers to which attempts may be sent.
     """
 
     def __init__(self, retire: Callable[[str], None]) -> None:
-        """`retire`: called for each server whose open connections must not be used again."""
+        """`retire`: called for each server whose open connections must not be reused."""
         self.by_name: dict[str, Address] = {}
         self._started_at: dict[str, float] = {}
         self._retire = retire
--- a/cometdoor/host/exchange/backend_exchanges.py
+++ b/cometdoor/host/exchange/backend_exchanges.py
@@ -28,29 +28,29 @@
     PARTIALLY_WRITTEN = "partially written"  # some bytes were written, but not the last
     WRITTEN = "written"  # all bytes were written; no byte of a response was received
     RECEIVING = "receiving"  # some bytes of a response were received
-    AFTER_EXTRA_BYTES = "after extra bytes"  # written; an interim or another's response, or line ends, came
+    AFTER_EXTRA_BYTES = "after extra bytes"  # an interim or another's response, or line ends were received
 
 
 class BackendExchangeEvent(Enum):
     """What happens on the connection, or to the request."""
 
     REFUSED = "refused"
-    RESET = "reset"  # or the host can't be reached
-    CLOSED = "closed"  # by the backend, without an error
+    RESET = "reset"  # the connection was reset, or the host is unreachable
+    CLOSED = "closed"  # the backend closed the connection without an error
     TIMED_OUT = "timed out"
-    MALFORMED = "malformed"  # bytes that form no response, or one without a defined end
+    MALFORMED = "malformed"  # the bytes are not a response, or one without a defined end
     TOO_LARGE = "too large"
     INTERIM = "interim"  # 1xx
-    RESPONSE = "response"  # a complete one with the request's id, whatever its status
+    RESPONSE = "response"  # a complete response with the request's id and any status
     RESPONSE_WITH_CLOSE = "response with close"  # with Connection: close
     RESPONSE_WITH_EXTRA_BYTES = "response with extra bytes"  # followed by bytes that don't belong to it
-    REJECTED = "rejected"  # a complete one with the request's id, which says that it was not executed
-    RESPONSE_TO_ANOTHER = "response to another"  # a complete one with another id
-    WITHOUT_ID = "without id"  # a complete response without an id, or with several
+    REJECTED = "rejected"  # a complete response with the request's id: it was not executed
+    RESPONSE_TO_ANOTHER = "response to another"  # a complete response with another id
+    WITHOUT_ID = "without id"  # a complete response without an id, or with several ids
     ENCODED = "encoded"  # with the id and a Content-Encoding: not the backend's body
-    UNPROVEN = "unproven"  # a success without a seal, or one that says that it was not executed
+    UNPROVEN = "unproven"  # a success without a seal, or one that reports "not executed"
     CANCELLED = "cancelled"  # the caller no longer waits, and the request is idempotent
-    CANCELLED_NON_IDEMPOTENT = "cancelled, not idempotent"  # the caller no longer waits, and it is not
+    CANCELLED_NON_IDEMPOTENT = "cancelled, not idempotent"  # likewise, but it is not idempotent
 
 
 _NOT_CONNECTED = Impossible("there is no connection yet")
--- a/cometdoor/host/exchange/client_requests.py
+++ b/cometdoor/host/exchange/client_requests.py
@@ -22,7 +22,7 @@
 
 
 class ClientRequestState(Enum):
-    """What the connection is doing before the event."""
+    """State of the connection before the event."""
 
     NEW = "new"  # no byte was received
     PARTIAL = "partial"  # some bytes of a request were received
@@ -38,8 +38,8 @@
     PARTIAL_REQUEST = "partial request"
     COMPLETE_REQUEST = "complete request"  # its last byte
     MALFORMED_INPUT = "malformed input"
-    TIMED_OUT = "timed out"  # for reading, for being idle, or for closing
-    END_OF_INPUT = "end of input"  # the client has closed its side
+    TIMED_OUT = "timed out"  # the timeout for reading, idling, or closing
+    END_OF_INPUT = "end of input"  # the client has closed its sending side
     RESET = "reset"
     RESPONSE = "response"
     REJECTED = "rejected"  # 503
@@ -50,7 +50,7 @@
     ClientRequestEvent.RESPONSE,
     ClientRequestEvent.REJECTED,
     ClientRequestEvent.FAILED,
-)  # where there is no current request
+)  # events that are late in states without a current request
 _NO_CONNECTION_TIMEOUT = Impossible("the request's own deadline runs, no limit of the connection's")
 _INPUT = {ClientRequestEvent.PARTIAL_REQUEST: IN_PROGRESS, ClientRequestEvent.COMPLETE_REQUEST: IN_PROGRESS}
 _CLIENT_REQUEST_ROWS: dict[ClientRequestState, dict[ClientRequestEvent, TableCell | Impossible]] = {
@@ -72,7 +72,7 @@
     },
     ClientRequestState.EXECUTING: {
         **_INPUT,
-        ClientRequestEvent.MALFORMED_INPUT: IN_PROGRESS,  # its response comes first, then 400
+        ClientRequestEvent.MALFORMED_INPUT: IN_PROGRESS,  # the response is sent first, then 400
         ClientRequestEvent.TIMED_OUT: _NO_CONNECTION_TIMEOUT,
         ClientRequestEvent.END_OF_INPUT: UNKNOWN_CLOSED,
         ClientRequestEvent.RESET: UNKNOWN_CLOSED,
@@ -84,7 +84,7 @@
         **_INPUT,
         ClientRequestEvent.MALFORMED_INPUT: IN_PROGRESS,  # pipelined requests are dropped, then 400
         ClientRequestEvent.TIMED_OUT: _NO_CONNECTION_TIMEOUT,
-        ClientRequestEvent.END_OF_INPUT: UNKNOWN_CLOSED,  # of the first; the pipelined one is never forwarded
+        ClientRequestEvent.END_OF_INPUT: UNKNOWN_CLOSED,  # for the first; the pipelined one is not forwarded
         ClientRequestEvent.RESET: UNKNOWN_CLOSED,
         ClientRequestEvent.RESPONSE: TableCell(
             Conclusion.EXECUTED, ConnectionFate.IN_USE
--- a/cometdoor/host/exchange/inbound_requests.py
+++ b/cometdoor/host/exchange/inbound_requests.py
@@ -12,7 +12,7 @@
 class InboundRequestState(Enum):
     """State of one request that a peer has sent to the inbound proxy."""
 
-    WAITING = "waiting"  # for a slot at the backend; no byte of it was written
+    WAITING = "waiting"  # it waits for a slot at the backend; no byte of it was written
     EXECUTING = "executing"  # it has a slot, and was written to the backend
     EXECUTING_NON_IDEMPOTENT = "executing, not idempotent"  # likewise, and it is not idempotent
     FINISHED = "finished"  # a reply was sent
@@ -21,25 +21,25 @@
 class InboundRequestEvent(Enum):
     """Events from the caller's proxy, the backend, or the timeouts."""
 
-    CANCELLED = "cancelled"  # by the caller's proxy
+    CANCELLED = "cancelled"  # the caller's proxy cancelled the request
     CONNECTION_LOST = "connection lost"
     BACKEND_REMOVED = "backend removed"
-    BACKEND_REPLACED = "backend replaced"  # by another incarnation at its address
+    BACKEND_REPLACED = "backend replaced"  # another incarnation listens at its address
     DRAIN_ENDING = "drain ending"
-    WAIT_TIMED_OUT = "wait timed out"  # it has waited for a slot too long
+    WAIT_TIMED_OUT = "wait timed out"  # the maximum wait for a slot has passed
     SLOT_FREE = "slot free"
 
 
 class Slot(Enum):
     """Whether the request has a concurrency slot at the backend."""
 
-    NONE = "no slot"  # it has none, and never will have one
+    NONE = "no slot"  # the request has none and will not get one
     HELD = "holds a slot"
 
 
 @dataclass(frozen=True, slots=True)
 class InboundRequestCell:
-    """The result of an event; `is_reported`: whether a reply goes to the caller's proxy."""
+    """The result of an event; `is_reported`: whether a reply is sent to the caller's proxy."""
 
     conclusion: Conclusion
     slot: Slot
@@ -53,7 +53,7 @@
 _ALREADY_FINISHED = InboundRequestCell(Conclusion.PENDING, Slot.NONE)
 _HAS_SLOT = Impossible("it has a slot")
 _EXECUTING_ROW: dict[InboundRequestEvent, InboundRequestCell | Impossible] = {
-    # Requests in flight may end; their connections are not reused if the backend was replaced.
+    # Requests in flight may complete; their connections are not reused if the backend was replaced.
     InboundRequestEvent.BACKEND_REMOVED: _CONTINUES,
     InboundRequestEvent.BACKEND_REPLACED: _CONTINUES,
     InboundRequestEvent.DRAIN_ENDING: _CONTINUES,
--- a/cometdoor/host/exchange/keyed_operations.py
+++ b/cometdoor/host/exchange/keyed_operations.py
@@ -8,9 +8,9 @@
 
 
 class KeyedOperationState(Enum):
-    """What the proxy knows about the operation with the key."""
+    """State of the operation with the key, as known to the proxy."""
 
-    NEW = "new"  # the proxy knows nothing about the key
+    NEW = "new"  # the proxy has no information about the key
     CLAIMING = "claiming"  # a claim was submitted to the core; an attempt waits
     CLAIM_UNKNOWN = "claim unknown"  # no reply to the claim was received: it may be in force
     NOT_STARTED = "not started"  # this proxy owns the claim, and nothing was executed
@@ -43,7 +43,7 @@
 
 
 class KeyedOperationAction(Enum):
-    """What the proxy does; the numbers are statuses of its response to an attempt."""
+    """An action of the proxy; a number is the status of its response to an attempt."""
 
     CLAIM = "claim"
     EXECUTE = "execute"
@@ -63,9 +63,9 @@
     next_state : KeyedOperationState
         The state after the event.
     actions : tuple[KeyedOperationAction, ...]
-        What the proxy does, in order; a response is listed once for each attempt that it answers.
+        Actions of the proxy, in order; a response is listed once for each attempt that it answers.
     reported : str
-        The reply to proxies that have asked, as in `OperationReply.state`; empty: none yet.
+        The reply to proxies that have queried, as in `OperationReply.state`; empty: no reply yet.
     """
 
     next_state: KeyedOperationState
@@ -76,7 +76,7 @@
 def _complete_row(
     state: KeyedOperationState, transitions: dict[KeyedOperationEvent, KeyedOperationCell]
 ) -> dict[KeyedOperationEvent, KeyedOperationCell]:
-    """Add the events that are not listed: they are late or concern a former claim, and change nothing."""
+    """Add cells for the other events, which are late or concern a former claim: they change nothing."""
     expired = KeyedOperationCell(KeyedOperationState.NEW)
     return (
         dict.fromkeys(KeyedOperationEvent, KeyedOperationCell(state))
@@ -141,7 +141,7 @@
         KeyedOperationEvent.EXECUTED: KeyedOperationCell(
             KeyedOperationState.DONE, (KeyedOperationAction.RESPOND, KeyedOperationAction.RESPOND), "done"
         ),
-        # From now on the other proxy may execute it: it must not be executed here any more.
+        # The other proxy may execute it after this reply, so this proxy must not execute it any more.
         KeyedOperationEvent.NOT_EXECUTED: KeyedOperationCell(
             KeyedOperationState.NEW, (KeyedOperationAction.REJECT, KeyedOperationAction.REJECT), "unrun"
         ),
--- a/cometdoor/host/exchange/peer_calls.py
+++ b/cometdoor/host/exchange/peer_calls.py
@@ -23,8 +23,8 @@
     """State of one call on a peer connection, before the event."""
 
     CONNECTING = "connecting"  # the call waits until the connection is open
-    QUEUED = "queued"  # the call was not passed to the transport yet
-    SENT = "sent"  # all of it was passed to the transport; how much the peer has received is not known
+    QUEUED = "queued"  # the call has not been passed to the transport yet
+    SENT = "sent"  # it was passed to the transport; how much the peer has received is unknown
     FINISHED = "finished"  # the call has a reply, or was cancelled after it was sent
 
 
@@ -36,7 +36,7 @@
     CONNECTED = "connected"
     RESET = "reset"
     CLOSED = "closed"
-    PEER_TIMED_OUT = "peer timed out"  # no reply to pings
+    PEER_TIMED_OUT = "peer timed out"  # the peer did not reply to pings
     FRAME_ERROR = "frame error"
     EXECUTED = "reply ForwardResponse"
     NOT_EXECUTED = "reply NotExecuted"
@@ -74,7 +74,7 @@
     PeerCallState.QUEUED: {
         **_IS_CONNECTED,
         **dict.fromkeys(_CONNECTION_LOST_EVENTS, NOT_EXECUTED_CLOSED),
-        # Its id was not sent yet: a peer that replies to it violates the protocol.
+        # The call's id was not sent yet, so a peer that replies to it violates the protocol.
         **dict.fromkeys(_REPLIES, NOT_EXECUTED_CLOSED),
         PeerCallEvent.CANCELLED: NOT_EXECUTED,
     },
--- a/cometdoor/host/exchange/table.py
+++ b/cometdoor/host/exchange/table.py
@@ -1,7 +1,7 @@
-"""Types of the exchange tables, and cells that several tables share.
+"""Types of the exchange tables, and cells that several tables use.
 
-The conclusion of a cell is about the request: it was executed, it was not and never will be, or neither is
-proven. Only the second one permits a retry of a request that is not idempotent.
+The conclusion of a cell concerns the request: it was executed, it was not executed and never will be, or
+neither is proven. Only the second one permits a retry of a request that is not idempotent.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 class Conclusion(Enum):
     """What is known about the request after the event."""
 
-    PENDING = "pending"  # it is still in flight, or there is none
+    PENDING = "pending"  # the request is still in flight, or there is no request
     EXECUTED = "executed"
-    NOT_EXECUTED = "not executed"  # and never will be
+    NOT_EXECUTED = "not executed"  # it was not executed, and never will be
     MAY_HAVE_EXECUTED = "may have been executed"
 
 
 class ConnectionFate(Enum):
-    """What becomes of the connection."""
+    """State of the connection after the event."""
 
     IN_USE = "in use"  # this exchange, or the next one, continues on it
     REUSABLE = "reusable"  # the next request may use it
--- a/cometdoor/host/fair_share.py
+++ b/cometdoor/host/fair_share.py
@@ -1,16 +1,16 @@
-"""Quotas of scarce resources, file descriptors and client connections, shared by several owners. No I/O."""
+"""Quotas of file descriptors and client connections that several owners share, without I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-# Share of the units guaranteed to no owner that one owner may hold while there are other owners.
+# Maximum share of the units without a guarantee that one owner may hold while there are other owners.
 MAX_UNRESERVED_SHARE = 0.5
 
 
 def client_connection_limit(limit: int) -> int:
-    """Return how many connections clients may hold together: half of all descriptors."""
+    """Return the maximum number of connections of all clients: half of all descriptors."""
     return max(limit // 2, 1)
 
 
@@ -25,7 +25,7 @@
 
 
 class DescriptorQuota:
-    """Quota of the sockets that a process may have open: it keeps file descriptors from running out.
+    """Quota of the open sockets of a process, so that it doesn't run out of file descriptors.
 
     It has one owner; `SharedQuota` divides a quota among several.
     """
@@ -56,7 +56,7 @@
     def __init__(self, quota: SharedQuota, reclaim: Callable[[], bool]) -> None:
         self._quota = quota
         self.guaranteed = 0
-        self.reclaim = reclaim  # releases one unit that is held without need, if any
+        self.reclaim = reclaim  # releases one idle unit; returns False if there is none
         self.used = 0
 
     def acquire(self) -> bool:
@@ -77,16 +77,15 @@
 
     While there are several owners, none may hold more than `MAX_UNRESERVED_SHARE` of that rest.
 
-    An owner that was removed keeps the units that it holds until it releases them; they count against the
-    rest. The cost of acquiring and releasing does not grow with the number of owners, unless units must be
-    reclaimed.
+    A removed owner keeps its units until it releases them; they count against the rest. The cost of acquiring
+    and releasing does not grow with the number of owners, unless units must be reclaimed.
     """
 
     def __init__(self, total: int) -> None:
         self.total = total
         self.used = 0
         self._guaranteed = 0
-        self._reserved = 0  # the sum over all owners, also of removed ones
+        self._reserved = 0  # sum over all owners, including removed ones
         self._shares: dict[QuotaShare, None] = {}
 
     def add_share(self, guaranteed: int, reclaim: Callable[[], bool] = lambda: False) -> QuotaShare:
@@ -97,26 +96,26 @@
         return share
 
     def remove_share(self, share: QuotaShare) -> None:
-        """Remove an owner; it keeps the units that it holds until it releases them."""
+        """Remove an owner; it keeps its units until it releases them."""
         self.set_guaranteed(share, 0)
         self._shares.pop(share, None)
 
     def set_guaranteed(self, share: QuotaShare, count: int) -> None:
-        """Change how many units are guaranteed to an owner."""
+        """Set the number of units that are guaranteed to an owner."""
         self._reserved -= share.reserved()
         self._guaranteed += count - share.guaranteed
         share.guaranteed = count
         self._reserved += share.reserved()
 
     def max_usable(self, share: QuotaShare) -> int:
-        """Return how many units an owner may hold if no other owner holds more than its guaranteed ones."""
+        """Return the limit of an owner's units while no other owner exceeds its guarantee."""
         unreserved = max(self.total - self._guaranteed, 0)
         return share.guaranteed + (
             unreserved if len(self._shares) < 2 else int(unreserved * MAX_UNRESERVED_SHARE)
         )
 
     def acquire(self, share: QuotaShare) -> bool:
-        """Acquire a unit for an owner, if need be by reclaiming an idle one; False if there is none."""
+        """Acquire a unit for an owner, reclaiming an idle one if necessary; return False if there is none."""
         if not self._has_capacity(share) and not (
             self._is_within_limit(share) and self._reclaim_one(share) and self._has_capacity(share)
         ):
@@ -139,7 +138,7 @@
 
     def _has_capacity(self, share: QuotaShare) -> bool:
         if share.used < share.guaranteed:
-            # Guaranteed, unless guarantees have changed and other owners have yet to release units.
+            # A unit is available unless guarantees have changed and other owners still have to release units.
             return self.used < self.total
         return self._is_within_limit(share) and self._reserved < self.total
 
--- a/cometdoor/host/interfaces.py
+++ b/cometdoor/host/interfaces.py
@@ -16,15 +16,15 @@
 
 
 class RequestProperties(Protocol):
-    """The properties of a request that the balancer needs; all others are the frontend's own."""
+    """The properties of a request that the balancer uses; a frontend may add others."""
 
     class_index: int
     """Index in the settings' classes."""
     tenant: int
     arrived_at: float
-    """When its last byte came: seconds on the monotonic clock."""
+    """Time at which its last byte was received, in seconds on the monotonic clock."""
     remaining_ms: float
-    """For how long its client waits, counted from its arrival."""
+    """Time for which its client waits, counted from its arrival."""
     cost_ms: float | None
     is_retry: bool
 
@@ -39,14 +39,14 @@
 class ResponseListener(Protocol[ResponseT_contra]):
     """A client that waits for a response.
 
-    Exactly one of the three methods is called for each of its requests, unless it disconnects before.
+    Exactly one of the three methods is called for each of its requests, unless it disconnects first.
     """
 
     def on_response(self, response: ResponseT_contra) -> None:
         """Forward the response."""
 
     def on_rejected(self, retry_after_ms: float) -> None:
-        """Report that nothing was executed, or that a retry is harmless; 0: no advice when to retry."""
+        """Report that the request was not executed or may safely be retried; 0: no suggested retry delay."""
 
     def on_failed(self) -> None:
         """Report that the request failed and may have been executed."""
@@ -86,23 +86,23 @@
         expires_at_ms
             When the host abandons the attempt, in ms on its clock.
         on_result
-            Called once, perhaps before this returns, unless the attempt is aborted first.
+            Called once, possibly before this method returns, unless the attempt is aborted first.
 
         Returns
         -------
         AttemptHandle | Outcome
-            An outcome if no byte was written or will be; `on_result` is not called then.
+            An outcome if no byte was written and none will be; `on_result` is not called in this case.
         """
 
     def close_idle(self, server: str) -> None:
         """Close idle connections to a server."""
 
     def retire(self, server: str) -> None:
-        """Stop reusing the connections to a server that are open now; attempts in flight may end."""
+        """Stop reusing the currently open connections to a server; attempts in flight may complete."""
 
 
 class AttemptObserver(Protocol):
-    """Is notified of endpoint lists and attempts, without influence on them."""
+    """Receives notifications of endpoint lists and attempts, and has no influence on them."""
 
     def on_endpoints_changed(self, event: api.EndpointsChanged) -> None:
         """Handle a new endpoint list."""
@@ -129,7 +129,7 @@
     seed : int
         Seed of the balancer's random generator.
     may_send_retry_after : bool
-        Whether rejections may carry advice when to retry.
+        Whether rejections may include a suggested retry delay.
     """
 
     balancer: api.Settings
--- a/cometdoor/host/invariants.py
+++ b/cometdoor/host/invariants.py
@@ -1,6 +1,6 @@
-"""Conditions that must hold at all times in a running process: checked where they could break, and counted.
+"""Invariants of a running process, checked where they could be violated; violations are counted.
 
-A violation is logged, with the number so far, and the process goes on. Tests assert that none was counted.
+A violation is logged with the count so far, and the process continues. Tests assert that there were none.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Invariant:
-    """A condition by its text, and how often it was violated in this process."""
+    """A condition, described by its text, and the number of its violations in this process."""
 
     def __init__(self, text: str) -> None:
         self.text = text
@@ -28,11 +28,11 @@
 
 
 def violations() -> dict[str, int]:
-    """Return the violated invariants of this process, and how often each was violated."""
+    """Return the texts of this process's violated invariants, with the number of violations of each."""
     return {invariant.text: invariant.violations for invariant in _invariants if invariant.violations}
 
 
 def reset() -> None:
-    """Forget all violations, for tests."""
+    """Set the counts of all violations to 0, for tests."""
     for invariant in _invariants:
         invariant.violations = 0
--- a/cometdoor/host/link_budget.py
+++ b/cometdoor/host/link_budget.py
@@ -1,31 +1,31 @@
-"""How many bytes a machine's link has room for. No I/O; callers pass the time, in seconds.
+"""Token bucket for the bytes that a machine's link can send, without I/O; times are in seconds.
 
-The budget is a token bucket that may go into debt: short messages are always sent and only counted, large
-ones are sent in chunks, and a chunk only when the debt of what was sent before is paid. What is queued in the
-link is then at most one chunk and the bucket's size, and no short message waits behind more than that.
+The bucket may go into debt. Short messages are always sent and only counted. Large messages are sent in
+chunks, and each chunk only when the debt from earlier messages is paid. The link then queues at most one
+chunk and the bucket's size, so that no short message waits for more than that.
 """
 
 from __future__ import annotations
 
 from cometdoor.host.invariants import Invariant
 
-LINK_SHARE = 0.95  # of the bandwidth: the rest is for headers and for acknowledgements
-# Time in which the link sends a chunk: the longest that a short message waits behind one.
+LINK_SHARE = 0.95  # share of the bandwidth in use; the rest is for headers and acknowledgements
+# Time in which the link sends a chunk, and thus the maximum wait of a short message for one chunk.
 CHUNK_S = 0.02
-BURST_S = 0.01  # of the rate that the bucket holds: timers are late by some milliseconds
-MIN_CHUNK_BYTES = 4096  # each chunk costs a wake-up and a system call
-# Of the rate: the largest debt. Where short messages alone are more than the link is said to carry, large
-# ones go on soon after: the link may be faster than the settings say.
+BURST_S = 0.01  # size of the bucket in seconds of the rate; timers fire some milliseconds late
+MIN_CHUNK_BYTES = 4096  # limits the overhead of a chunk: a wake-up and a system call
+# The maximum debt, in seconds of the rate. If short messages alone exceed the configured bandwidth, large
+# messages continue soon after them, because the link may be faster than the settings say.
 MAX_DEBT_S = 0.5
-ROUNDING_BYTES = 1.0  # that sums of fractions may be off
+ROUNDING_BYTES = 1.0  # tolerance for rounding errors in sums of fractions
 
 SHORT_WAIT_IS_BOUNDED = Invariant(
-    "a short message never waits for more large ones than one chunk and the bucket hold"
+    "a short message never waits for more bytes of large messages than one chunk and the bucket size"
 )
 
 
 class LinkBudget:
-    """Bytes that may be sent at once, refilled at the rate of a link.
+    """The bytes that may be sent now, refilled at the rate of a link.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
         self.chunk_bytes = max(int(CHUNK_S * self.bytes_per_s), MIN_CHUNK_BYTES)
         self._max_tokens = BURST_S * self.bytes_per_s
         self._tokens = self._max_tokens
-        self._large_debt = 0.0  # of the large messages sent, less what the link has sent since
+        self._large_debt = 0.0  # bytes of large messages that the link has not sent yet
         self._refilled_at = now
 
     def _refill(self, now: float) -> None:
@@ -50,19 +50,19 @@
         self._large_debt = max(self._large_debt - refill, 0.0)
 
     def spend(self, size: int, now: float) -> None:
-        """Count a short message, which is sent whatever the debt."""
+        """Count a short message, which is sent regardless of the debt."""
         self._refill(now)
         self._tokens = max(self._tokens - size, -MAX_DEBT_S * self.bytes_per_s)
         limit = self.chunk_bytes + self._max_tokens + ROUNDING_BYTES
         SHORT_WAIT_IS_BOUNDED.check(self._large_debt <= limit)
 
     def spend_chunk(self, size: int, now: float) -> None:
-        """Count a chunk of a large message; the caller has asked `seconds_until_free`."""
+        """Count a chunk of a large message; callers check `seconds_until_free` first."""
         self._refill(now)
         self._tokens -= size
         self._large_debt += size
 
     def seconds_until_free(self, now: float) -> float:
-        """Return after how many seconds a chunk may be sent; 0: now."""
+        """Return the time in seconds until a chunk may be sent; 0: now."""
         self._refill(now)
         return max(-self._tokens / self.bytes_per_s, 0.0)
--- a/cometdoor/host/link_scheduler.py
+++ b/cometdoor/host/link_scheduler.py
@@ -1,7 +1,7 @@
-"""Scheduling of what a process sends over its machine's link: short messages at once, large ones in chunks.
+"""Scheduling of a process's writes to its machine's link: short messages immediately, large ones in chunks.
 
-Without it a large message is handed to the kernel whole, and every message to any other machine waits until
-the link has sent it: 200 ms for 90 kB at 3.5 Mbit/s. Large messages are sent one after the other.
+Without scheduling, a large message is passed to the kernel in one write, and messages to all other machines
+wait until the link has sent it: 200 ms for 90 kB at 3.5 Mbit/s. Large messages are sent one after the other.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 from cometdoor.host.link_budget import LinkBudget
 
-MIN_WAIT_S = 0.001  # timers are no finer
+MIN_WAIT_S = 0.001  # resolution of timers
 
 
 class LinkScheduler:
-    """Owner of a link's budget and of the queue of connections that have large messages to send.
+    """Sends the large messages of all connections over one link, within the link's budget.
 
     Parameters
     ----------
     bandwidth_mbps
-        Bandwidth of the link; 0: it is not limited, and nothing is scheduled.
+        Bandwidth of the link in megabits per second; 0: unlimited, and writes are not scheduled.
     local_host
-        The machine's own IP address, at which connections don't use the link.
+        The machine's own IP address; connections to it don't use the link.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, bandwidth_mbps: float, local_host: str) -> None:
@@ -32,13 +32,13 @@
         self._budget = LinkBudget(bandwidth_mbps, loop.time()) if bandwidth_mbps > 0 else None
         self._queue: deque[ScheduledTransport] = deque()
         self._timer: asyncio.TimerHandle | None = None
-        self.queued_bytes = 0  # of large messages, that wait for the link
+        self.queued_bytes = 0  # bytes of large messages that wait for the link
 
     def wrap(self, transport: asyncio.Transport, keeps_order: bool = True) -> asyncio.Transport:
-        """Return a transport that sends over this link; the same one if it does not use the link.
+        """Return a transport that sends over this link; `transport` itself if it does not use the link.
 
-        `keeps_order`: writes stay in order; else each is a whole message, and a short one goes before large
-        ones of which nothing was sent.
+        `keeps_order`: whether writes stay in order. Otherwise each write is a complete message, and a short
+        one is sent before queued large ones of which no byte was sent.
         """
         peer = transport.get_extra_info("peername")
         if self._budget is None or (peer and peer[0] == self._local_host):
@@ -46,12 +46,12 @@
         return ScheduledTransport(transport, self, self._budget.chunk_bytes, keeps_order)
 
     def on_written(self, size: int) -> None:
-        """Count bytes that a connection has written at once."""
+        """Count bytes that a connection has written without queuing them."""
         assert self._budget is not None
         self._budget.spend(size, self._loop.time())
 
     def enqueue(self, transport: ScheduledTransport) -> None:
-        """Add a connection that has a large message to send."""
+        """Add a connection that has large messages to send to the queue."""
         self._queue.append(transport)
         if self._timer is None:
             self._send_chunks()
@@ -89,9 +89,9 @@
         self._scheduler = scheduler
         self._max_short_bytes = max_short_bytes
         self._keeps_order = keeps_order
-        self._queued: deque[tuple[int, bytes]] = deque()  # key and bytes, the first one perhaps in part sent
-        self._offset = 0  # bytes of the first one that were sent
-        self._short: list[bytes] = []  # sent as soon as the message is whole of which a part was sent
+        self._queued: deque[tuple[int, bytes]] = deque()  # key and bytes; the first may be partially sent
+        self._offset = 0  # number of bytes of the first queued message that were sent
+        self._short: list[bytes] = []  # sent when the partially sent message is complete
         self._ends_with_eof = self._is_closing = False
 
     @property
@@ -100,11 +100,11 @@
         return bool(self._queued)
 
     def write(self, data: Any) -> None:
-        """Send bytes: at once if they are short and need not wait for what is queued."""
+        """Send bytes, immediately if they are short and need not wait for queued messages."""
         self.write_message(0, data)
 
     def write_message(self, key: int, data: bytes) -> None:
-        """Send bytes that `discard` may remove by their key while they are queued; 0: no key."""
+        """Send bytes that `discard` can remove by their key while they are queued; 0: no key."""
         if self._is_closing or self._ends_with_eof or not data:
             return
         if len(data) <= self._max_short_bytes and not (self._queued and self._keeps_order):
@@ -116,7 +116,7 @@
             self._scheduler.enqueue(self)
 
     def write_short(self, data: bytes) -> None:
-        """Send short messages, however many bytes they have together, before large ones that wait."""
+        """Send short messages before queued large ones, whatever the total size of the short ones."""
         if self._is_closing or self._ends_with_eof or not data:
             return
         if self._offset:
@@ -129,7 +129,7 @@
         self._transport.write(data)
 
     def discard(self, key: int) -> bool:
-        """Remove a queued message of which nothing was sent; return whether there was one."""
+        """Remove a queued message of which no byte was sent; return whether there was one."""
         for index, (queued_key, data) in enumerate(self._queued):
             if key and queued_key == key and (index or not self._offset):
                 del self._queued[index]
@@ -138,7 +138,7 @@
         return False
 
     def send_chunk(self, max_bytes: int) -> tuple[int, bool]:
-        """Send a part of the first queued message; return its size, and whether the message is sent."""
+        """Send a chunk of the first queued message; return its size, and whether the message is complete."""
         if self._transport.is_closing():
             self._drop_queued()
         if not self._queued:
@@ -160,7 +160,7 @@
         return len(chunk), True
 
     def _end(self) -> None:
-        """Do what was asked for after the last write."""
+        """Send the end of file and close the connection, if requested while messages were queued."""
         if self._ends_with_eof and not self._transport.is_closing():
             self._transport.write_eof()
         if self._is_closing:
@@ -173,30 +173,30 @@
         self._offset = 0
 
     def write_eof(self) -> None:
-        """Close for writing, once all is sent."""
+        """Close the sending side after all queued messages were sent."""
         if not self._ends_with_eof:
             self._ends_with_eof = True
             if not self._queued:
                 self._transport.write_eof()
 
     def close(self) -> None:
-        """Close, once all is sent."""
+        """Close after all queued messages were sent."""
         self._is_closing = True
         if not self._queued:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once; what is queued is dropped."""
+        """Close immediately and drop queued messages."""
         self._is_closing = True
         self._drop_queued()
         self._transport.abort()
 
     def is_closing(self) -> bool:
-        """Return whether it is closed, or closes once all is sent."""
+        """Return whether the transport is closed, or will be closed after all queued messages were sent."""
         return self._is_closing or self._transport.is_closing()
 
     def get_write_buffer_size(self) -> int:
-        """Return how many bytes were written and not yet handed to the kernel."""
+        """Return the number of written bytes that were not passed to the kernel yet."""
         queued = sum(len(data) for _, data in self._queued) - self._offset
         queued += sum(len(data) for data in self._short)
         return self._transport.get_write_buffer_size() + queued
@@ -206,7 +206,7 @@
         return self._transport.get_extra_info(name, default)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Set the limits at which the protocol is told to pause writing, without what is queued here."""
+        """Set the limits for pausing the protocol's writes; bytes queued here don't count."""
         self._transport.set_write_buffer_limits(high=high, low=low)
 
     def pause_reading(self) -> None:
@@ -214,5 +214,5 @@
         self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume reading."""
         self._transport.resume_reading()
--- a/cometdoor/host/listening.py
+++ b/cometdoor/host/listening.py
@@ -1,4 +1,4 @@
-"""Listening at all addresses of a process; all failures are reported together."""
+"""Listens at all addresses of a process, and reports all failures together."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     """One address to listen at."""
 
     listen: Callable[[str, int], Awaitable[None]]
-    """Called with host and port."""
+    """Starts to listen; called with host and port."""
     address: str
-    """As "ip:port"."""
+    """The address as "ip:port"."""
 
 
 async def listen_all(listeners: Mapping[str, ListenStep]) -> None:
@@ -37,7 +37,7 @@
     Raises
     ------
     ExceptionGroup
-        Of a `ListenError` for each address that can't be used.
+        With a `ListenError` for each address that can't be used.
     """
     errors = []
     for step, (listen, address) in listeners.items():
@@ -46,4 +46,4 @@
         except OSError as problem:
             errors.append(ListenError(step, address, problem.strerror or str(problem)))
     if errors:
-        raise ExceptionGroup("it can't listen", errors)
+        raise ExceptionGroup("failed to listen", errors)
--- a/cometdoor/host/node_settings.py
+++ b/cometdoor/host/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process of the mesh: the boot file that COMETDOOR_NODE_FILE in the environment names."""
+"""Settings of one process of the mesh: the boot file that the variable COMETDOOR_NODE_FILE names."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class ListenAddresses(CheckedModel):
-    """Addresses ("ip:port") at which the process listens; None: it does not. `inbound` has no effect.
+    """Addresses ("ip:port") at which the process listens; None: it doesn't listen. `inbound` has no effect.
 
     `outbound` is for callers, `readiness` for the platform's checks. `control_plane` is the API of a data
     plane for its backend, and that of a control plane for operators and clients.
@@ -35,12 +35,12 @@
     file_descriptors: int = aliased("file-descriptors", default=1024)
     memory_mb: float = aliased("memory-mb", default=256)
     disk_mb: float = aliased("disk-mb", default=0)
-    bandwidth_mbps: float = aliased("bandwidth-mbps", default=0)  # of the machine's link; 0: not limited
+    bandwidth_mbps: float = aliased("bandwidth-mbps", default=0)  # of the machine's link; 0: unlimited
 
 
 @dataclass(frozen=True)
 class FaultTolerance(CheckedModel):
-    """How many failure domains may fail at once without loss of acknowledged data."""
+    """Number of failure domains that may fail at once without loss of acknowledged data."""
 
     machines: int = 0
     zones: int = 0
@@ -68,7 +68,7 @@
     fault_tolerance: FaultTolerance = aliased("fault-tolerance", default_factory=FaultTolerance)
 
     def bound_value(self, name: str, default: float) -> float:
-        """Return a number that `bounds` gives as ``NAME=NUMBER``; `default` if it doesn't.
+        """Return a number that `bounds` has as ``NAME=NUMBER``, or `default` if it has none of that name.
 
         Raises
         ------
@@ -82,7 +82,7 @@
         return default
 
     def zone_index(self, zone: str) -> int:
-        """Return an index for the zone, equal in all processes whose files name the same zones."""
+        """Return the zone's index, which is equal in all processes whose files have the same zones."""
         known = sorted(self.zones)
         return known.index(zone) if zone in known else len(known)
 
@@ -93,7 +93,7 @@
     def seed_internal_addresses(self) -> list[str]:
         """Return the internal addresses of the control planes on the seed nodes.
 
-        They have this machine's ports: all machines use the same internal ports.
+        The ports are those of this machine, because all machines use the same internal ports.
         """
         port = self.internal_ports[0] + ROLE_PORT_OFFSETS["controlplane"]
         return [f"{parse_address(seed)[0]}:{port}" for seed in self.seed_nodes]
@@ -111,14 +111,17 @@
         len(node_settings.internal_ports) != 2
         or not 0 < node_settings.internal_ports[0] < node_settings.internal_ports[1] < 65536
     ):
-        yield "internal-ports", f"a first and a last port are needed, not {node_settings.internal_ports}"
+        yield (
+            "internal-ports",
+            f"a first and a higher last port are expected, not {node_settings.internal_ports}",
+        )
     for index, text in enumerate(node_settings.bounds):
         name, _, value = text.partition("=")
         try:
             if value.strip() not in ("true", "false"):
                 float(value)
         except ValueError:
-            yield f"bounds.{index}", f"{text!r} is no NAME=NUMBER"
+            yield f"bounds.{index}", f"{text!r} is not in the form NAME=NUMBER"
     addresses = [(f"seed-nodes.{index}", seed) for index, seed in enumerate(node_settings.seed_nodes)]
     if node_settings.application is not None:
         addresses.append(("application", node_settings.application))
@@ -130,16 +133,16 @@
         if text is not None:
             addresses.append((key_path, text))
         elif name in REQUIRED_LISTEN_ADDRESSES[role]:
-            yield key_path, f"missing; the {role} serves there"
+            yield key_path, f"missing; the {role} listens at this address"
     for key_path, text in addresses:
         try:
             parse_address(text)
         except ValueError as problem:
             yield key_path, str(problem)
     if role == "controlplane" and not node_settings.data_directory:
-        yield "data-directory", "missing; the log is kept there"
+        yield "data-directory", "missing; the log is stored there"
     if role == "dataplane" and not node_settings.service:
-        yield "service", "missing; it is named to backends as the caller"
+        yield "service", "missing; requests to backends name it as the caller"
 
 
 def read_node_settings(content: bytes, file: str, role: str) -> NodeSettings:
@@ -171,7 +174,7 @@
         raise SettingsError(
             [
                 SettingsProblem(
-                    SETTINGS_FILE_VARIABLE, "", "the variable is not set; it names the settings file"
+                    SETTINGS_FILE_VARIABLE, "", "the variable is not set; it must name the settings file"
                 )
             ]
         )
--- a/cometdoor/host/settings_validation.py
+++ b/cometdoor/host/settings_validation.py
@@ -1,6 +1,6 @@
 """Validation of settings files and configurations: all problems are reported at once, each with its path.
 
-Libraries that convert plain data to typed objects stop at the first problem. So a file's content is checked
+Libraries that convert plain data to typed objects stop at the first problem, so a file's content is checked
 field by field before it is converted. The parts that depend on the library are in `dataclass_settings`
 (mashumaro, for the mesh) and `struct_settings` (msgspec, for the proxy of services).
 """
@@ -21,7 +21,7 @@
 SettingsT = TypeVar("SettingsT")
 
 FieldProblem = tuple[str, str]
-"""Path of keys, with positions in lists counted from 0, and what is wrong there."""
+"""Path of keys, with positions in lists counted from 0, and a description of the problem."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
     except UnicodeDecodeError as problem:
         raise SettingsError([SettingsProblem(file, "", f"byte {problem.start} is not UTF-8")]) from problem
     except (tomllib.TOMLDecodeError, RecursionError) as problem:
-        raise SettingsError([SettingsProblem(file, "", f"no TOML: {problem}")]) from problem
+        raise SettingsError([SettingsProblem(file, "", f"not valid TOML: {problem}")]) from problem
 
 
 def join_path(path: str, key: str) -> str:
@@ -106,12 +106,12 @@
 
     @abstractmethod
     def describe(self, value: object) -> str:
-        """Return an operator's word for the type of a value, such as "a list"."""
+        """Return a description of a value's type for operators, such as "a list"."""
 
     def check_list(self, value: object, item_type: Any, path: str) -> None:
         """Add the problems of a value that must be a list."""
         if not isinstance(value, list):
-            self.problems.append((path, f"a list is needed, not {self.describe(value)}"))
+            self.problems.append((path, f"a list is expected, not {self.describe(value)}"))
             return
         for index, item in enumerate(value):
             self.check(item, item_type, f"{path}.{index}")
@@ -126,7 +126,7 @@
         """Return whether a value is a table; add a problem if it is not."""
         if isinstance(value, dict):
             return True
-        self.problems.append((path, f"a table is needed, not {self.describe(value)}"))
+        self.problems.append((path, f"a table is expected, not {self.describe(value)}"))
         return False
 
 
@@ -146,15 +146,15 @@
     content
         Plain data, as TOML and JSON parsers return it.
     checker
-        Checks it against `expected_type`; must be new, since it collects the problems.
+        Checks the data against `expected_type`; must be new, because it collects the problems.
     expected_type
         The type of the result.
     build
-        Converts the data if the checker has found no problem.
+        Converts the data; called only if the checker found no problems.
     file
-        Named in the problems.
+        Name of the file, for the problems.
     find_problems
-        Returns the problems of the converted settings that types can't express.
+        Returns the problems of the converted settings that their types don't exclude.
 
     Raises
     ------
--- a/cometdoor/host/struct_settings.py
+++ b/cometdoor/host/struct_settings.py
@@ -1,6 +1,6 @@
-"""Operators' settings as msgspec structs, for the proxy of services and the planners.
+"""Settings of the proxy of services and of the planners as msgspec structs.
 
-Unknown keys are problems. docs/design/services.md has the reasons for this library.
+Unknown keys are reported as problems. docs/design/services.md has the reasons for this library.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from cometdoor.host.settings_validation import FieldProblem, ValueChecker, convert_checked, join_path
 
 MAX_PROBLEM_CHARACTERS = 300
-VALUE_DESCRIPTIONS: dict[type, str] = {dict: "a table", list: "a list", str: "a text", bool: "a truth value"}
+VALUE_DESCRIPTIONS: dict[type, str] = {dict: "a table", list: "a list", str: "a string", bool: "a boolean"}
 TYPE_DESCRIPTIONS: dict[type, str] = {
-    str: "a text",
+    str: "a string",
     float: "a number",
-    int: "a whole number",
-    bool: "a truth value",
+    int: "an integer",
+    bool: "a boolean",
 }
 
 StructT = TypeVar("StructT", bound=Struct)
@@ -32,16 +32,17 @@
 
 
 class SlowStartEntry(Struct, frozen=True, kw_only=True):
-    """How servers that have just started behave; left out: they bear full load at once."""
+    """Behaviour of servers that have just started; if left out, they can take full load immediately."""
 
-    initial_share: Annotated[float, Meta(gt=0, le=1)] = msgspec.field(name="from")  # of the capacity
+    initial_share: Annotated[float, Meta(gt=0, le=1)] = msgspec.field(name="from")  # share of the capacity
     warm_up_ms: Positive
-    overload_factor: Positive = 3.0  # a starting server that is sent this multiple of its capacity
-    overload_tolerance_ms: Positive = msgspec.field(default=3_000.0, name="fall_ms")  # so long collapses
+    # A starting server collapses if it is sent this multiple of its capacity for `overload_tolerance_ms`.
+    overload_factor: Positive = 3.0
+    overload_tolerance_ms: Positive = msgspec.field(default=3_000.0, name="fall_ms")
 
 
 def find_address_problems(path: str, text: str, min_port: int = 1) -> Iterator[FieldProblem]:
-    """Yield the problem of a text that is no HOST:PORT."""
+    """Yield a problem if a string is not a valid HOST:PORT address."""
     try:
         parse_address(text, min_port)
     except ValueError as problem:
@@ -75,7 +76,7 @@
     """Checks values against structs and the types and constraints of their fields."""
 
     def describe(self, value: object) -> str:
-        """Return an operator's word for the type of a value."""
+        """Return a description of a value's type for operators."""
         return VALUE_DESCRIPTIONS.get(type(value), "a number")
 
     def check(self, value: object, expected_type: Any, path: str) -> None:
@@ -93,10 +94,10 @@
         elif origin is Literal:
             if value not in arguments:
                 self.problems.append(
-                    (path, f"{_describe_type(expected_type)} is needed; it is {value!r}"),
+                    (path, f"{_describe_type(expected_type)} is expected; it is {value!r}"),
                 )
         elif isinstance(value, float) and not math.isfinite(value):
-            self.problems.append((path, "a finite number is needed"))
+            self.problems.append((path, "a finite number is expected"))
         else:
             try:
                 msgspec.convert(value, expected_type)
@@ -113,7 +114,7 @@
             hint = (
                 f"did you mean {similar_keys[0]}?"
                 if similar_keys
-                else f"known here: {', '.join(fields_by_key)}"
+                else f"valid keys: {', '.join(fields_by_key)}"
             )
             self.problems.append((join_path(path, key), f"unknown key; {hint}"))
         for key, field in fields_by_key.items():
@@ -121,7 +122,7 @@
                 self.check(value[key], field.type, join_path(path, key))
             elif field.required:
                 self.problems.append(
-                    (join_path(path, key), f"missing; {_describe_type(field.type)} is needed"),
+                    (join_path(path, key), f"missing; {_describe_type(field.type)} is expected"),
                 )
 
 
--- a/stories/host/test_exchange_table.py
+++ b/stories/host/test_exchange_table.py
@@ -1,4 +1,4 @@
-"""The tables of the exchange: every cell against the code, and the tables against the design note."""
+"""The exchange tables: every cell is checked against the code, and the tables against the design page."""
 
 from enum import Enum
 from itertools import product
--- a/stories/host/test_link_scheduler.py
+++ b/stories/host/test_link_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of a link: what is sent when, in which order, and what becomes of messages that wait."""
+"""The link scheduler: time and order of writes, and the handling of queued messages."""
 
 import asyncio
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class RecordingTransport(asyncio.Transport):
-    """A transport that records what is written, and when."""
+    """A transport that records the written data and the times of the writes."""
 
     def __init__(self, loop: VirtualLoop, host: str = "10.0.0.2") -> None:
         super().__init__()
@@ -109,9 +109,9 @@
     link = Link(2)
     link.transports[0].write(LARGE)
     link.transports[1].write(LARGE)
-    link.transports[1].write(SHORT)  # nothing of the large one was sent
+    link.transports[1].write(SHORT)  # no byte of the large message was sent
     assert link.raw[1].written() == SHORT
-    link.transports[0].write(SHORT)  # a part of the large one was sent
+    link.transports[0].write(SHORT)  # the large message was partially sent
     link.wait(1.0)
     assert link.raw[0].written() == LARGE + SHORT and link.raw[1].written() == SHORT + LARGE
 
@@ -185,12 +185,12 @@
 
 @test("the invariant sees a large message that was sent past the budget")
 def _() -> None:
-    # Given a defect: chunks are sent without asking whether the link is free
+    # Given a defect: chunks are sent without checking whether the link is free
     budget = LinkBudget(BANDWIDTH_MBPS, now=0.0)
     for _ in range(5):
         budget.spend_chunk(budget.chunk_bytes, now=0.0)
-    # When a short message is sent behind them
+    # When a short message is sent after them
     budget.spend(len(SHORT), now=0.0)
-    # Then it is counted
+    # Then a violation is counted
     assert invariants.violations() == {SHORT_WAIT_IS_BOUNDED.text: 1}
     invariants.reset()
--- a/tests/host/test_attempt_outcome.py
+++ b/tests/host/test_attempt_outcome.py
@@ -1,4 +1,4 @@
-"""The table of attempt outcomes, in every cell."""
+"""Every cell of the tables of attempt results."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 
 STAGES = list(AttemptStage)
-# Impossible: nothing is closed or corrupt before there is a connection, or refused once there is one.
+# A connection is not closed and receives no bytes before it is open, and is not refused after that.
 IMPOSSIBLE = {
     (AttemptStage.CONNECTING, FailureKind.CLOSED),
     (AttemptStage.CONNECTING, FailureKind.MALFORMED),
@@ -28,7 +28,7 @@
         for stage in (AttemptStage.CONNECTING, AttemptStage.CONNECTED, AttemptStage.WRITTEN)
     ),
 }
-IDLE_CLOSE_FAILURES = {FailureKind.RESET, FailureKind.CLOSED}  # how an idle connection ends
+IDLE_CLOSE_FAILURES = {FailureKind.RESET, FailureKind.CLOSED}  # failures of a connection closed while idle
 
 
 @pytest.mark.parametrize("is_reused", [False, True])
@@ -41,15 +41,15 @@
             result_of_failure(stage, failure, is_reused)
         return
     result = result_of_failure(stage, failure, is_reused)
-    # Rule 2: never ran only where the last byte was not written, and where that is so always, unless an
-    # answer came to half a request.
+    # "Not executed" if and only if the last byte was not written and no response to the partial request was
+    # received.
     is_unwritten = STAGES.index(stage) < STAGES.index(AttemptStage.WRITTEN)
     got_response = stage is AttemptStage.PARTIALLY_WRITTEN and failure in (
         FailureKind.MALFORMED,
         FailureKind.TOO_LARGE,
     )
     assert result.is_not_executed == (is_unwritten and not got_response)
-    assert result.blame is not None and 0.0 <= result.blame <= 1.0  # no failure counts in a server's favour
+    assert result.blame is not None and 0.0 <= result.blame <= 1.0  # failures never improve a server's rating
     assert result.outcome is not Outcome.OK
     is_idle_close = (
         is_reused
@@ -58,8 +58,8 @@
     )
     assert result.closed_while_idle == is_idle_close
     if is_idle_close:
-        assert result.blame == 0.0  # a connection closed while idle is no fault of the server
-    assert result.outcome is result_of_failure(stage, failure).outcome  # kept or fresh: what ran, ran
+        assert result.blame == 0.0  # a connection closed while idle is not blamed on the server
+    assert result.outcome is result_of_failure(stage, failure).outcome  # the same whether fresh or reused
 
 
 def test_table_has_all_possible_stages_and_failures_and_no_other() -> None:
--- a/tests/host/test_connection_reuse.py
+++ b/tests/host/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""How long idle connections are reused, and for which requests."""
+"""The idle time up to which connections are reused, for idempotent and other requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     ServerConnectionReuse,
 )
 
-LIMITS: dict[str, Callable[[Random], float]] = {  # the age in seconds at which a connection is ended unseen
+LIMITS: dict[str, Callable[[Random], float]] = {  # age in seconds at which a connection is closed silently
     "a box that forgets after 5 s": lambda random: 5.0,
     "a server that closes between 0.2 and 0.6 s": lambda random: random.uniform(0.2, 0.6),
     "a server that never closes": lambda random: 1e9,
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("name", LIMITS)
 def test_connections_are_reused_up_to_the_age_that_they_survive(name: str) -> None:
-    """Bounds hold for each kind of server once thirty connection ends are known.
+    """For each kind of server, losses are bounded after the first thirty calls.
 
     At most one in seven idempotent requests, and one in forty of the others, is sent on a dead connection;
     and connections that are alive are reused.
@@ -32,7 +32,7 @@
     reused_and_lost = {
         True: [0, 0],
         False: [0, 0],
-    }  # by once: calls on a kept connection, those of them that were lost
+    }  # by `is_not_idempotent`: requests on a reused connection, and how many were lost
     reused_count = 0
     for seed in range(40):
         random, reuse = Random(f"{name}:{seed}"), ServerConnectionReuse()
@@ -46,7 +46,7 @@
                 if limit_s < idle_s and not reuse.is_worth_reusing(idle_s, is_not_idempotent=False):
                     reuse.record_closed(
                         max(limit_s, MIN_IDLE_S)
-                    )  # it rests there until the other side ends it
+                    )  # it stays idle until the other side closes it
                 continue
             reused_count += 1
             if idle_s > limit_s:
@@ -100,7 +100,7 @@
 
 
 def test_trials_correct_an_estimate_that_is_bad_for_all_ages() -> None:
-    """A burst of ends at all ages: without trials every later request would open a new connection."""
+    """After closes at all ages, without trials, every later request would open a new connection."""
     connection_reuse, random = ConnectionReuse(), Random(1)
     for _ in range(60):
         connection_reuse.record_closed("s", random.uniform(0.06, 1.0))
--- a/tests/host/test_fair_share.py
+++ b/tests/host/test_fair_share.py
@@ -1,4 +1,4 @@
-"""Shared quotas: guaranteed shares, and a remainder that no service can take completely."""
+"""Shared quotas: guaranteed shares, and a rest that no single owner can use up."""
 
 from __future__ import annotations
 
--- a/tests/host/test_golden_boot.py
+++ b/tests/host/test_golden_boot.py
@@ -1,7 +1,7 @@
-"""Settings files of the mesh's programs are read as by commit 4033f28 (fixtures/boot.json).
+"""The mesh's programs read settings files in the same way as commit 4033f28 did (fixtures/boot.json).
 
-`values` are those under the names of the file, `positions` the same in the order in which fields are
-declared. The fixture was written by that commit's own code.
+`values` has the values by their keys in the file, `positions` the same values in the order in which fields
+are declared. The fixture was written by the code of that commit.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 FIXTURES = Path(__file__).parent / "fixtures"
 FIXTURE = load(FIXTURES / "boot.json")
-# Keys of `limits` that were added since, at its end, with their defaults: no file of that commit has them.
+# Keys added to the end of `limits` since that commit, with their defaults; its files don't have them.
 ADDED_LIMITS = {"bandwidth-mbps": 0}
 LIMITS_POSITION = -2
 FILES = pytest.mark.parametrize("name", FIXTURE["files"])
@@ -91,11 +91,11 @@
     assert asked == FIXTURE["bounds that the programs ask for"]
 
 
-# --- read again ---
+# --- reload ---
 
 
 def reload(mesh: SimulatedMesh, address: str, text: str, monkeypatch: pytest.MonkeyPatch) -> Any:
-    """Reload as at SIGHUP, with that text in the file that the program was started with."""
+    """Replace the content of the program's settings file, and reload it as SIGHUP does."""
     role, path = mesh.settings(address)
     path.write_text(text)
     monkeypatch.setenv("COMETDOOR_NODE_FILE", str(path))
@@ -115,13 +115,13 @@
         started_with = mesh.programs[address].node_settings
         seeds = mesh.programs[address].directory.seeds
         text = mesh.settings(address)[1].read_text()
-        # When what the file says is not right, nothing changes
+        # When the file is invalid, nothing changes
         for broken in ("zone = 1\n" + text, text.replace('zone = "here"', "zone = 7"), "no toml"):
             program = reload(mesh, address, broken, monkeypatch)
             assert (program.node_settings, program.latest_settings, program.directory.seeds) == (
                 *(started_with, started_with, seeds),
             )
-        # When it is right, its seeds are used
+        # When it is valid, its seed nodes are used
         changed = text.replace("seed-nodes = [", 'seed-nodes = ["127.0.9.9:9", "127.0.9.8:9", ')
         assert changed != text
         program = reload(mesh, address, changed.replace("grace-s=6", "grace-s=5"), monkeypatch)
--- a/tests/services/test_settings_file.py
+++ b/tests/services/test_settings_file.py
@@ -65,16 +65,16 @@
         "socket": "unknown key; did you mean sockets?",
         "sockets": "expected int, got str; it is 'many'",
         "listener.0.adress": "unknown key; did you mean address?",
-        "listener.0.address": "missing; a text is needed",
+        "listener.0.address": "missing; a string is expected",
         "service.0.name": found["service.0.name"],
         "service.0.routes.0.host": "expected str, got int; it is 5",
         "service.0.servers.0.weight": "expected float > 0.0; it is -1",
-        "service.0.servers.1.address": "missing; a text is needed",
+        "service.0.servers.1.address": "missing; a string is expected",
         "service.0.retry_after": "expected bool, got str; it is 'yes'",
         "service.0.limits.open": "expected int >= 1; it is 0",
-        "service.0.classes.look.effect": "one of safe, keyed, unsafe is needed; it is 'idempotent'",
-        "service.0.classes.look.aim_ms": "a finite number is needed",
-        "service.0.classes.look.deadline_ms": "missing; a number is needed",
+        "service.0.classes.look.effect": "one of safe, keyed, unsafe is expected; it is 'idempotent'",
+        "service.0.classes.look.aim_ms": "a finite number is expected",
+        "service.0.classes.look.deadline_ms": "missing; a number is expected",
         "service.0.cold.from": "expected float <= 1.0; it is 2.0",
     }
 
@@ -136,8 +136,8 @@
 @pytest.mark.parametrize(
     ("text", "said"),
     [
-        ("a = [", "no TOML: "),
-        ("a = 1\na = 2", "no TOML: "),
+        ("a = [", "not valid TOML: "),
+        ("a = 1\na = 2", "not valid TOML: "),
         (b"\xff", "byte 0 is not UTF-8"),
         ("", "missing"),
     ],
