--- a/cometdoor/host/active_requests.py
+++ b/cometdoor/host/active_requests.py
@@ -43,17 +43,26 @@
 class ActiveAttempt(Generic[RequestT, ResponseT]):
     """One attempt of a request; its times are in ms on the host's clock."""
 
-    __slots__ = ("active", "expires_at_ms", "handle", "index", "is_ended", "sent_at", "server", "timer")
+    __slots__ = (
+        "active_request",
+        "expires_at_ms",
+        "handle",
+        "index",
+        "is_ended",
+        "sent_at",
+        "server",
+        "timer",
+    )
 
     def __init__(
         self,
-        active: ActiveRequest[RequestT, ResponseT],
+        active_request: ActiveRequest[RequestT, ResponseT],
         index: int,
         server: str,
         sent_at: float,
         expires_at_ms: float,
     ) -> None:
-        self.active = active
+        self.active_request = active_request
         self.index = index
         self.server = server
         self.sent_at = sent_at
--- a/cometdoor/host/balancer_host.py
+++ b/cometdoor/host/balancer_host.py
@@ -169,15 +169,15 @@
         remaining_ms = request.remaining_ms
         margin_ms = min(RESPONSE_MARGIN_MS, MAX_MARGIN_SHARE * remaining_ms)
         expires_at_ms = request.arrived_at * 1000.0 + remaining_ms - margin_ms
-        active = ActiveRequest(str(self._last_id), client, request, expires_at_ms)
-        self._requests[active.id] = self._by_client[client] = active
+        active_request = ActiveRequest(str(self._last_id), client, request, expires_at_ms)
+        self._requests[active_request.id] = self._by_client[client] = active_request
         self._waiting_count += 1
-        active.timer = self._clock.call_at(
-            expires_at_ms + margin_ms * FALLBACK_MARGIN_SHARE, lambda: self._on_deadline(active)
+        active_request.timer = self._clock.call_at(
+            expires_at_ms + margin_ms * FALLBACK_MARGIN_SHARE, lambda: self._on_deadline(active_request)
         )
         self._dispatch(
             api.RequestArrived(
-                active.id,
+                active_request.id,
                 request.class_index,
                 max(expires_at_ms - self._clock.now_ms(), 0.0),
                 request.tenant,
@@ -186,66 +186,66 @@
             )
         )
         if self.max_waiting is not None and self._waiting_count > self.max_waiting:
-            self._reject_unsent(active)
+            self._reject_unsent(active_request)
 
     def reject_waiting(self) -> None:
         """Reject all requests that have no attempt yet."""
-        for active in list(self._by_client.values()):
-            self._reject_unsent(active)
+        for active_request in list(self._by_client.values()):
+            self._reject_unsent(active_request)
 
-    def _reject_unsent(self, active: ActiveRequest[RequestT, ResponseT]) -> None:
+    def _reject_unsent(self, active_request: ActiveRequest[RequestT, ResponseT]) -> None:
         """Reject a request if it has no attempt yet: a retry is safe, and early is better than late."""
-        if active.attempts:
+        if active_request.attempts:
             return
-        client = self._detach_client(active)
+        client = self._detach_client(active_request)
         if client is not None:
-            self._dispatch(api.ClientDisconnected(active.id))
-            client.on_rejected(self.suggested_retry_after_ms(active.request))
-            self._clean_up(active)
+            self._dispatch(api.ClientDisconnected(active_request.id))
+            client.on_rejected(self.suggested_retry_after_ms(active_request.request))
+            self._clean_up(active_request)
 
     def on_client_disconnected(self, client: ResponseListener[ResponseT]) -> None:
         """Cancel the client's open request, if any."""
-        active = self._by_client.get(client)
-        if active is not None:
-            self._detach_client(active)
-            self._dispatch(api.ClientDisconnected(active.id))
-            self._clean_up(active)
+        active_request = self._by_client.get(client)
+        if active_request is not None:
+            self._detach_client(active_request)
+            self._dispatch(api.ClientDisconnected(active_request.id))
+            self._clean_up(active_request)
 
-    def _on_deadline(self, active: ActiveRequest[RequestT, ResponseT]) -> None:
+    def _on_deadline(self, active_request: ActiveRequest[RequestT, ResponseT]) -> None:
         """Fail a request that the balancer has not decided on in time."""
-        client = self._detach_client(active)
+        client = self._detach_client(active_request)
         if client is not None:
             client.on_failed()
-            self._dispatch(api.ClientDisconnected(active.id))
-            self._clean_up(active)
+            self._dispatch(api.ClientDisconnected(active_request.id))
+            self._clean_up(active_request)
 
     def _detach_client(
-        self, active: ActiveRequest[RequestT, ResponseT]
+        self, active_request: ActiveRequest[RequestT, ResponseT]
     ) -> ResponseListener[ResponseT] | None:
         """Return the client that waits for a response, if any, and mark the request as answered."""
-        client, active.client = active.client, None
+        client, active_request.client = active_request.client, None
         if client is not None:
-            if active.timer is not None:
-                active.timer.cancel()
-                active.timer = None  # breaks a reference cycle
-            if not active.attempts:
+            if active_request.timer is not None:
+                active_request.timer.cancel()
+                active_request.timer = None  # breaks a reference cycle
+            if not active_request.attempts:
                 self._waiting_count -= 1
             del self._by_client[client]
         return client
 
     def fail_all(self) -> None:
         """Fail all open requests, before the process is killed."""
-        for active in list(self._by_client.values()):
-            self._on_deadline(active)
+        for active_request in list(self._by_client.values()):
+            self._on_deadline(active_request)
 
     def _abandon(self, request_id: str) -> None:
-        active = self._requests.get(request_id)
-        if active is None:
+        active_request = self._requests.get(request_id)
+        if active_request is None:
             return
-        self._fail(active)
-        for attempt in list(active.attempts):
+        self._fail(active_request)
+        for attempt in list(active_request.attempts):
             self._end_attempt(attempt, Outcome.CANCELLED)
-        self._clean_up(active)
+        self._clean_up(active_request)
 
     # --- actions out ---
 
@@ -254,18 +254,18 @@
             case api.Send():
                 self._send(action)
             case api.Cancel():
-                active = self._requests.get(action.request)
-                if active is not None and 0 <= action.attempt < len(active.attempts):
-                    self._end_attempt(active.attempts[action.attempt], Outcome.CANCELLED)
+                active_request = self._requests.get(action.request)
+                if active_request is not None and 0 <= action.attempt < len(active_request.attempts):
+                    self._end_attempt(active_request.attempts[action.attempt], Outcome.CANCELLED)
             case api.Reject():
-                active = self._requests.get(action.request)
-                if active is not None:
-                    self._reject(active, action.retry_after_ms)
+                active_request = self._requests.get(action.request)
+                if active_request is not None:
+                    self._reject(active_request, action.retry_after_ms)
             case api.Fail():
-                active = self._requests.get(action.request)
-                if active is not None:
-                    self._fail(active)
-                    self._clean_up(active)
+                active_request = self._requests.get(action.request)
+                if active_request is not None:
+                    self._fail(active_request)
+                    self._clean_up(active_request)
             case api.SetTimer():
                 token = action.token
                 self._clock.call_at(
@@ -276,11 +276,11 @@
             case api.WatchEndpoints():
                 self._watch_endpoints()
 
-    def _reject(self, active: ActiveRequest[RequestT, ResponseT], retry_after_ms: float) -> None:
-        client = self._detach_client(active)
+    def _reject(self, active_request: ActiveRequest[RequestT, ResponseT], retry_after_ms: float) -> None:
+        client = self._detach_client(active_request)
         if client is not None:
             client.on_rejected(retry_after_ms if self._settings.may_send_retry_after else 0.0)
-        self._clean_up(active)
+        self._clean_up(active_request)
 
     def suggested_retry_after_ms(self, request: RequestT) -> float:
         """Return after how many ms a client that is rejected at a limit should retry; 0: no advice.
@@ -296,29 +296,31 @@
     def _latency_target_ms(self, request: RequestT) -> float:
         return self._classes[request.class_index].latency_target_ms
 
-    def _fail(self, active: ActiveRequest[RequestT, ResponseT]) -> None:
-        client = self._detach_client(active)
+    def _fail(self, active_request: ActiveRequest[RequestT, ResponseT]) -> None:
+        client = self._detach_client(active_request)
         if client is not None:
             client.on_failed()
 
     def _send(self, action: api.Send) -> None:
-        active = self._requests.get(action.request)
-        if active is None:
+        active_request = self._requests.get(action.request)
+        if active_request is None:
             return
         now = self._clock.now_ms()
         expires_at_ms = (
-            min(active.expires_at_ms, now + action.timeout_ms)
+            min(active_request.expires_at_ms, now + action.timeout_ms)
             if action.timeout_ms > 0
-            else active.expires_at_ms
+            else active_request.expires_at_ms
         )
-        attempt = ActiveAttempt(active, len(active.attempts), action.server, now, expires_at_ms)
-        if not active.attempts and active.client is not None:
+        attempt = ActiveAttempt(
+            active_request, len(active_request.attempts), action.server, now, expires_at_ms
+        )
+        if not active_request.attempts and active_request.client is not None:
             self._waiting_count -= 1
-        active.attempts.append(attempt)
+        active_request.attempts.append(attempt)
         if (
-            active.client is None
+            active_request.client is None
             or now >= expires_at_ms
-            or len(active.attempts) > self._settings.balancer.max_attempts
+            or len(active_request.attempts) > self._settings.balancer.max_attempts
         ):
             self._end_attempt(attempt, Outcome.NOT_SENT)
             return
@@ -328,20 +330,23 @@
             return
         if self.observer is not None:
             self.observer.on_attempt_sent(
-                action.server, (active.id, attempt.index), self._latency_target_ms(active.request), now
+                action.server,
+                (active_request.id, attempt.index),
+                self._latency_target_ms(active_request.request),
+                now,
             )
         attempt.timer = self._clock.call_at(expires_at_ms, lambda: self._on_attempt_timeout(attempt))
-        started = self._transport.send(
+        handle_or_outcome = self._transport.send(
             action.server,
             address,
-            active.request,
+            active_request.request,
             expires_at_ms,
             lambda result, response: self._on_attempt_result(attempt, result, response),
         )
-        if isinstance(started, Outcome):
-            self._end_attempt(attempt, started)
+        if isinstance(handle_or_outcome, Outcome):
+            self._end_attempt(attempt, handle_or_outcome)
         elif not attempt.is_ended:
-            attempt.handle = started
+            attempt.handle = handle_or_outcome
 
     # --- attempts ---
 
@@ -355,7 +360,7 @@
         self, attempt: ActiveAttempt[RequestT, ResponseT], result: AttemptResult, response: ResponseT | None
     ) -> None:
         if result.outcome is Outcome.OK and response is not None and not attempt.is_ended:
-            client = self._detach_client(attempt.active)
+            client = self._detach_client(attempt.active_request)
             if client is not None:
                 client.on_response(response)
         self._end_attempt(attempt, result.outcome, response, result.blame)
@@ -377,31 +382,31 @@
         if attempt.handle is not None:
             attempt.handle.abort()
             attempt.handle = None
-        active = attempt.active
+        active_request = attempt.active_request
         if self.observer is not None:
             self.observer.on_attempt_ended(
                 attempt.server,
-                (active.id, attempt.index),
+                (active_request.id, attempt.index),
                 outcome,
-                self._latency_target_ms(active.request),
+                self._latency_target_ms(active_request.request),
                 self._clock.now_ms(),
             )
         load = self._parse_load_report(response) if response is not None else {}
         self._dispatch(
             api.AttemptEnded(
-                active.id,
+                active_request.id,
                 attempt.index,
                 attempt.server,
                 outcome,
-                active.client is None,
+                active_request.client is None,
                 self._clock.now_ms() - attempt.sent_at,
                 load,
                 blame,
             )
         )
-        self._clean_up(active)
+        self._clean_up(active_request)
 
-    def _clean_up(self, active: ActiveRequest[RequestT, ResponseT]) -> None:
-        if active.is_finished() and self._requests.pop(active.id, None) is not None:
-            active.attempts.clear()  # breaks a reference cycle
-            self._on_finished(active.request)
+    def _clean_up(self, active_request: ActiveRequest[RequestT, ResponseT]) -> None:
+        if active_request.is_finished() and self._requests.pop(active_request.id, None) is not None:
+            active_request.attempts.clear()  # breaks a reference cycle
+            self._on_finished(active_request.request)
--- a/cometdoor/host/connection_reuse.py
+++ b/cometdoor/host/connection_reuse.py
@@ -31,7 +31,7 @@
 MIN_OWN_OBSERVATIONS = 20.0  # minimum for using a server's own estimate alone; fewer are too noisy
 
 
-def _bin_of(idle_s: float) -> int:
+def _bin_index(idle_s: float) -> int:
     return min(max(int(math.log(max(idle_s, MIN_IDLE_S) / MIN_IDLE_S) / math.log(BIN_GROWTH)), 0), MAX_BIN)
 
 
@@ -59,12 +59,12 @@
         """Halve the deaths up to this age if the estimate wrongly counts this connection as closed."""
         if self.closed_probability(idle_s) > MAX_RISK_IDEMPOTENT:
             for bin_index in self._closed_by_bin:
-                if bin_index <= _bin_of(idle_s):
+                if bin_index <= _bin_index(idle_s):
                     self._closed_by_bin[bin_index] *= DISPROVED_FACTOR
             self._closed_probabilities = None
 
     def _count(self, counts_by_bin: dict[int, float], idle_s: float) -> None:
-        bin_index = _bin_of(idle_s)
+        bin_index = _bin_index(idle_s)
         counts_by_bin[bin_index] = counts_by_bin.get(bin_index, 0.0) + 1.0
         self._closed_probabilities = None
         if sum(self._closed_by_bin.values()) + sum(self._reused_by_bin.values()) >= MAX_OBSERVATIONS:
@@ -87,7 +87,7 @@
                 surviving *= 1.0 - closed / at_risk
                 at_risk -= closed + self._reused_by_bin.get(bin_index, 0.0)
                 self._closed_probabilities.append(1.0 - surviving)
-        return self._closed_probabilities[_bin_of(idle_s)]
+        return self._closed_probabilities[_bin_index(idle_s)]
 
     def is_worth_reusing(self, idle_s: float, is_not_idempotent: bool) -> bool:
         """Return whether a request should use a connection of this age.
@@ -107,13 +107,13 @@
     """The estimates for all servers of a pool.
 
     A server with few observations is assumed to behave like the others. With separate estimates only, each of
-    eight servers lost two or three requests before its estimate showed what that of another one had shown.
+    eight servers lost two or three requests to learn what the estimate of one server had already shown.
     """
 
     def __init__(self) -> None:
         self._pooled = ServerConnectionReuse()
         self._by_server: dict[str, ServerConnectionReuse] = {}
-        self._refused_count = 0
+        self._skipped_reuse_count = 0
 
     def record_closed(self, server: str, idle_s: float) -> None:
         """Count a connection to the server that was closed at this age."""
@@ -141,8 +141,8 @@
 
         To be called once for each such request: every `TRIAL_INTERVAL_CALLS`-th call returns True.
         """
-        self._refused_count += 1
-        return self._refused_count % TRIAL_INTERVAL_CALLS == 0
+        self._skipped_reuse_count += 1
+        return self._skipped_reuse_count % TRIAL_INTERVAL_CALLS == 0
 
     def forget_server(self, server: str) -> None:
         """Forget a server that was removed or replaced."""
--- a/cometdoor/host/dataclass_settings.py
+++ b/cometdoor/host/dataclass_settings.py
@@ -134,5 +134,5 @@
             elif field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING:
                 self.problems.append((join_path(path, key), "missing"))
 
-    def _add_mismatch(self, path: str, needed: str, value: object) -> None:
-        self.problems.append((path, f"{needed} is expected, not {self.describe(value)}"))
+    def _add_mismatch(self, path: str, expected: str, value: object) -> None:
+        self.problems.append((path, f"{expected} is expected, not {self.describe(value)}"))
--- a/cometdoor/host/exchange/backend_exchanges.py
+++ b/cometdoor/host/exchange/backend_exchanges.py
@@ -12,7 +12,7 @@
     NOT_EXECUTED,
     NOT_EXECUTED_CLOSED,
     UNKNOWN_CLOSED,
-    ConnectionFate,
+    ConnectionState,
     Impossible,
     Table,
     TableCell,
@@ -54,10 +54,10 @@
 
 
 _NOT_CONNECTED = Impossible("there is no connection yet")
-_WRITTEN_AT_ONCE = Impossible("the first write follows in the same turn of the loop")
-_IS_CONNECTED = Impossible("it is connected")
+_WRITTEN_IMMEDIATELY = Impossible("the first write follows in the same turn of the loop")
+_ALREADY_CONNECTED = Impossible("it is connected")
 _WRITTEN_ROW: dict[BackendExchangeEvent, TableCell | Impossible] = {
-    BackendExchangeEvent.REFUSED: _IS_CONNECTED,
+    BackendExchangeEvent.REFUSED: _ALREADY_CONNECTED,
     BackendExchangeEvent.RESET: UNKNOWN_CLOSED,
     BackendExchangeEvent.CLOSED: UNKNOWN_CLOSED,
     BackendExchangeEvent.TIMED_OUT: UNKNOWN_CLOSED,
@@ -82,7 +82,7 @@
 _BACKEND_ROWS: dict[BackendExchangeState, dict[BackendExchangeEvent, TableCell | Impossible]] = {
     BackendExchangeState.IDLE: dict.fromkeys(BackendExchangeEvent, FINISHED)
     | {
-        BackendExchangeEvent.REFUSED: _IS_CONNECTED,
+        BackendExchangeEvent.REFUSED: _ALREADY_CONNECTED,
         BackendExchangeEvent.CANCELLED: Impossible("there is no exchange"),
         BackendExchangeEvent.CANCELLED_NON_IDEMPOTENT: Impossible("there is no exchange"),
     },
@@ -94,7 +94,7 @@
         BackendExchangeEvent.CANCELLED: NOT_EXECUTED_CLOSED,
         BackendExchangeEvent.CANCELLED_NON_IDEMPOTENT: IN_PROGRESS,
     },
-    BackendExchangeState.CONNECTED: dict.fromkeys(BackendExchangeEvent, _WRITTEN_AT_ONCE)
+    BackendExchangeState.CONNECTED: dict.fromkeys(BackendExchangeEvent, _WRITTEN_IMMEDIATELY)
     | {BackendExchangeEvent.RESET: NOT_EXECUTED_CLOSED},
     BackendExchangeState.PARTIALLY_WRITTEN: _EXTRA_BYTES_ROW,
     BackendExchangeState.WRITTEN: _WRITTEN_ROW,
@@ -108,5 +108,5 @@
 REUSABLE_CELLS = frozenset(
     key
     for key, cell in BACKEND_EXCHANGE.items()
-    if isinstance(cell, TableCell) and cell.connection is ConnectionFate.REUSABLE
+    if isinstance(cell, TableCell) and cell.connection is ConnectionState.REUSABLE
 )
--- a/cometdoor/host/exchange/client_requests.py
+++ b/cometdoor/host/exchange/client_requests.py
@@ -14,7 +14,7 @@
     UNKNOWN_CLOSED,
     UNKNOWN_REUSABLE,
     Conclusion,
-    ConnectionFate,
+    ConnectionState,
     Impossible,
     Table,
     TableCell,
@@ -87,10 +87,10 @@
         ClientRequestEvent.END_OF_INPUT: UNKNOWN_CLOSED,  # for the first; the pipelined one is not forwarded
         ClientRequestEvent.RESET: UNKNOWN_CLOSED,
         ClientRequestEvent.RESPONSE: TableCell(
-            Conclusion.EXECUTED, ConnectionFate.IN_USE
+            Conclusion.EXECUTED, ConnectionState.IN_USE
         ),  # the pipelined one is forwarded
-        ClientRequestEvent.REJECTED: TableCell(Conclusion.NOT_EXECUTED, ConnectionFate.IN_USE),
-        ClientRequestEvent.FAILED: TableCell(Conclusion.MAY_HAVE_EXECUTED, ConnectionFate.IN_USE),
+        ClientRequestEvent.REJECTED: TableCell(Conclusion.NOT_EXECUTED, ConnectionState.IN_USE),
+        ClientRequestEvent.FAILED: TableCell(Conclusion.MAY_HAVE_EXECUTED, ConnectionState.IN_USE),
     },
     ClientRequestState.IDLE: {
         **_INPUT,
--- a/cometdoor/host/exchange/peer_calls.py
+++ b/cometdoor/host/exchange/peer_calls.py
@@ -62,7 +62,7 @@
     PeerCallEvent.FRAME_ERROR,
     PeerCallEvent.UNKNOWN_CALL,
 )
-_IS_CONNECTED = dict.fromkeys(_CONNECT_EVENTS, Impossible("it is connected"))
+_ALREADY_CONNECTED = dict.fromkeys(_CONNECT_EVENTS, Impossible("it is connected"))
 _PEER_CALL_ROWS: dict[PeerCallState, dict[PeerCallEvent, TableCell | Impossible]] = {
     PeerCallState.CONNECTING: dict.fromkeys(PeerCallEvent, Impossible("there is no connection yet"))
     | {
@@ -72,14 +72,14 @@
         PeerCallEvent.CANCELLED: NOT_EXECUTED,
     },
     PeerCallState.QUEUED: {
-        **_IS_CONNECTED,
+        **_ALREADY_CONNECTED,
         **dict.fromkeys(_CONNECTION_LOST_EVENTS, NOT_EXECUTED_CLOSED),
         # The call's id was not sent yet, so a peer that replies to it violates the protocol.
         **dict.fromkeys(_REPLIES, NOT_EXECUTED_CLOSED),
         PeerCallEvent.CANCELLED: NOT_EXECUTED,
     },
     PeerCallState.SENT: {
-        **_IS_CONNECTED,
+        **_ALREADY_CONNECTED,
         **dict.fromkeys(_CONNECTION_LOST_EVENTS, UNKNOWN_CLOSED),
         PeerCallEvent.EXECUTED: EXECUTED,
         PeerCallEvent.NOT_EXECUTED: NOT_EXECUTED,
@@ -90,7 +90,7 @@
     },
     # A process uses each call id once, so a late or second reply can't belong to another call.
     PeerCallState.FINISHED: {
-        **_IS_CONNECTED,
+        **_ALREADY_CONNECTED,
         **dict.fromkeys(_CONNECTION_LOST_EVENTS, FINISHED),
         **dict.fromkeys(_REPLIES, REUSABLE),
         PeerCallEvent.CANCELLED: REUSABLE,
--- a/cometdoor/host/exchange/table.py
+++ b/cometdoor/host/exchange/table.py
@@ -21,7 +21,7 @@
     MAY_HAVE_EXECUTED = "may have been executed"
 
 
-class ConnectionFate(Enum):
+class ConnectionState(Enum):
     """State of the connection after the event."""
 
     IN_USE = "in use"  # this exchange, or the next one, continues on it
@@ -51,7 +51,7 @@
     """The result of an event for the request and for its connection."""
 
     conclusion: Conclusion
-    connection: ConnectionFate
+    connection: ConnectionState
 
     @property
     def retry_permission(self) -> RetryPermission:
@@ -70,12 +70,12 @@
 Event = TypeVar("Event", bound=Enum)
 Table = Mapping[tuple[State, Event], TableCell | Impossible]
 
-IN_PROGRESS = TableCell(Conclusion.PENDING, ConnectionFate.IN_USE)
-REUSABLE = TableCell(Conclusion.PENDING, ConnectionFate.REUSABLE)
-FINISHED = TableCell(Conclusion.PENDING, ConnectionFate.CLOSED)
-EXECUTED = TableCell(Conclusion.EXECUTED, ConnectionFate.REUSABLE)
-EXECUTED_CLOSED = TableCell(Conclusion.EXECUTED, ConnectionFate.CLOSED)
-NOT_EXECUTED = TableCell(Conclusion.NOT_EXECUTED, ConnectionFate.REUSABLE)
-NOT_EXECUTED_CLOSED = TableCell(Conclusion.NOT_EXECUTED, ConnectionFate.CLOSED)
-UNKNOWN_CLOSED = TableCell(Conclusion.MAY_HAVE_EXECUTED, ConnectionFate.CLOSED)
-UNKNOWN_REUSABLE = TableCell(Conclusion.MAY_HAVE_EXECUTED, ConnectionFate.REUSABLE)
+IN_PROGRESS = TableCell(Conclusion.PENDING, ConnectionState.IN_USE)
+REUSABLE = TableCell(Conclusion.PENDING, ConnectionState.REUSABLE)
+FINISHED = TableCell(Conclusion.PENDING, ConnectionState.CLOSED)
+EXECUTED = TableCell(Conclusion.EXECUTED, ConnectionState.REUSABLE)
+EXECUTED_CLOSED = TableCell(Conclusion.EXECUTED, ConnectionState.CLOSED)
+NOT_EXECUTED = TableCell(Conclusion.NOT_EXECUTED, ConnectionState.REUSABLE)
+NOT_EXECUTED_CLOSED = TableCell(Conclusion.NOT_EXECUTED, ConnectionState.CLOSED)
+UNKNOWN_CLOSED = TableCell(Conclusion.MAY_HAVE_EXECUTED, ConnectionState.CLOSED)
+UNKNOWN_REUSABLE = TableCell(Conclusion.MAY_HAVE_EXECUTED, ConnectionState.REUSABLE)
--- a/cometdoor/host/link_scheduler.py
+++ b/cometdoor/host/link_scheduler.py
@@ -91,7 +91,7 @@
         self._keeps_order = keeps_order
         self._queued: deque[tuple[int, bytes]] = deque()  # key and bytes; the first may be partially sent
         self._offset = 0  # number of bytes of the first queued message that were sent
-        self._short: list[bytes] = []  # sent when the partially sent message is complete
+        self._deferred_short: list[bytes] = []  # sent when the partially sent message is complete
         self._ends_with_eof = self._is_closing = False
 
     @property
@@ -120,7 +120,7 @@
         if self._is_closing or self._ends_with_eof or not data:
             return
         if self._offset:
-            self._short.append(data)
+            self._deferred_short.append(data)
         else:
             self._write_now(data)
 
@@ -152,14 +152,14 @@
             return len(chunk), False
         self._queued.popleft()
         self._offset = 0
-        if self._short:
-            short, self._short = b"".join(self._short), []
+        if self._deferred_short:
+            short, self._deferred_short = b"".join(self._deferred_short), []
             self._write_now(short)
         if not self._queued:
-            self._end()
+            self._finish_closing()
         return len(chunk), True
 
-    def _end(self) -> None:
+    def _finish_closing(self) -> None:
         """Send the end of file and close the connection, if requested while messages were queued."""
         if self._ends_with_eof and not self._transport.is_closing():
             self._transport.write_eof()
@@ -169,7 +169,7 @@
     def _drop_queued(self) -> None:
         self._scheduler.queued_bytes -= sum(len(data) for _, data in self._queued) - self._offset
         self._queued.clear()
-        self._short.clear()
+        self._deferred_short.clear()
         self._offset = 0
 
     def write_eof(self) -> None:
@@ -198,7 +198,7 @@
     def get_write_buffer_size(self) -> int:
         """Return the number of written bytes that were not passed to the kernel yet."""
         queued = sum(len(data) for _, data in self._queued) - self._offset
-        queued += sum(len(data) for data in self._short)
+        queued += sum(len(data) for data in self._deferred_short)
         return self._transport.get_write_buffer_size() + queued
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
--- a/cometdoor/host/listening.py
+++ b/cometdoor/host/listening.py
@@ -43,7 +43,7 @@
     for step, (listen, address) in listeners.items():
         try:
             await listen(*parse_address(address))
-        except OSError as problem:
-            errors.append(ListenError(step, address, problem.strerror or str(problem)))
+        except OSError as error:
+            errors.append(ListenError(step, address, error.strerror or str(error)))
     if errors:
         raise ExceptionGroup("failed to listen", errors)
--- a/cometdoor/host/node_settings.py
+++ b/cometdoor/host/node_settings.py
@@ -83,8 +83,8 @@
 
     def zone_index(self, zone: str) -> int:
         """Return the zone's index, which is equal in all processes whose files have the same zones."""
-        known = sorted(self.zones)
-        return known.index(zone) if zone in known else len(known)
+        zone_names = sorted(self.zones)
+        return zone_names.index(zone) if zone in zone_names else len(zone_names)
 
     def internal_address(self, role: str) -> str:
         """Return the address at which other processes reach the process of a role on this machine."""
@@ -137,8 +137,8 @@
     for key_path, text in addresses:
         try:
             parse_address(text)
-        except ValueError as problem:
-            yield key_path, str(problem)
+        except ValueError as error:
+            yield key_path, str(error)
     if role == "controlplane" and not node_settings.data_directory:
         yield "data-directory", "missing; the log is stored there"
     if role == "dataplane" and not node_settings.service:
--- a/cometdoor/host/struct_settings.py
+++ b/cometdoor/host/struct_settings.py
@@ -45,8 +45,8 @@
     """Yield a problem if a string is not a valid HOST:PORT address."""
     try:
         parse_address(text, min_port)
-    except ValueError as problem:
-        yield path, str(problem)
+    except ValueError as error:
+        yield path, str(error)
 
 
 def convert(
@@ -101,8 +101,8 @@
         else:
             try:
                 msgspec.convert(value, expected_type)
-            except msgspec.ValidationError as problem:
-                text = f"{_plain_message(str(problem))}; it is {value!r}"
+            except msgspec.ValidationError as error:
+                text = f"{_plain_message(str(error))}; it is {value!r}"
                 self.problems.append((path, text[:MAX_PROBLEM_CHARACTERS]))
 
     def _check_struct(self, value: object, expected_type: type[Struct], path: str) -> None:
--- a/simulation/exchange/backend.py
+++ b/simulation/exchange/backend.py
@@ -8,7 +8,7 @@
 
 from cometdoor.dataplane.inbound_proxy import InboundProxy
 from cometdoor.host.exchange.backend_exchanges import BackendExchangeEvent, BackendExchangeState
-from cometdoor.host.exchange.table import Conclusion, ConnectionFate, TableCell
+from cometdoor.host.exchange.table import Conclusion, ConnectionState, TableCell
 from cometdoor.host.fair_share import DescriptorQuota
 from cometdoor.http.messages import MAX_RESPONSE_BODY_BYTES
 from cometdoor.wire.forwarding import AttemptFailed, ForwardResponse, NotExecuted
@@ -213,24 +213,24 @@
                 return Conclusion.MAY_HAVE_EXECUTED
         raise ExchangeViolation(f"replies: {self.peer_connection.replies}")
 
-    def connection(self) -> ConnectionFate:
+    def connection(self) -> ConnectionState:
         """Return the fate of the connection, by where the next request goes."""
         if self.inbound_proxy.in_flight_count():
-            return ConnectionFate.IN_USE
+            return ConnectionState.IN_USE
         self.loop.holds_connects = False
         self.loop.wait(0.1)
         transport = self.transport() if self.loop.transports else None
         before, connects = bytes(transport.accepted) if transport else b"", len(self.loop.connects)
         self.send("next")
         if len(self.loop.connects) == connects:
-            return ConnectionFate.REUSABLE
+            return ConnectionState.REUSABLE
         if transport is not None:
             expect(
                 (transport.is_closed, bytes(transport.accepted)),
                 (True, before),
                 "a closed connection carried more",
             )
-        return ConnectionFate.CLOSED
+        return ConnectionState.CLOSED
 
     def finish_exchange(self, state: BackendExchangeState) -> None:
         """Respond to requests that are still in flight."""
@@ -285,7 +285,7 @@
     expect(hop.conclusion(event), cell.conclusion, where)
     _check_reply(hop.peer_connection.replies, data)
     expect(hop.connection(), cell.connection, where)
-    if cell.connection is ConnectionFate.IN_USE:
+    if cell.connection is ConnectionState.IN_USE:
         hop.finish_exchange(state)
         expect(hop.inbound_proxy.in_flight_count(), 0, f"{where}: then a response")
         if event is not BackendExchangeEvent.CANCELLED_NON_IDEMPOTENT:
--- a/simulation/exchange/client_requests.py
+++ b/simulation/exchange/client_requests.py
@@ -6,7 +6,7 @@
 
 from cometdoor.dataplane.outbound_request import OutboundRequestReader
 from cometdoor.host.exchange.client_requests import ClientRequestEvent, ClientRequestState
-from cometdoor.host.exchange.table import Conclusion, ConnectionFate, TableCell
+from cometdoor.host.exchange.table import Conclusion, ConnectionState, TableCell
 from cometdoor.host.fair_share import DescriptorQuota
 from cometdoor.http.client_connection import ClientConnection
 from cometdoor.http.frontend import Frontend
@@ -145,19 +145,19 @@
             return Conclusion.NOT_EXECUTED if state is ClientRequestState.PARTIAL else Conclusion.PENDING
         return Conclusion.PENDING
 
-    def fate_of_next(self, state: ClientRequestState) -> ConnectionFate:
+    def fate_of_next(self, state: ClientRequestState) -> ConnectionState:
         """Return the fate of the connection, by what it does with one more request."""
         connection = self.connection
         if connection.request is not None or (connection._is_in_request and not self.transport.is_closed):
-            return ConnectionFate.IN_USE
+            return ConnectionState.IN_USE
         accepted = list(self.handler.accepted)
         self.transport.feed(request("next"))
         self.loop.wait(0.001)
         if self.handler.accepted == [*accepted, "next"]:
-            return ConnectionFate.REUSABLE
+            return ConnectionState.REUSABLE
         expect(self.handler.accepted, accepted, "requests that were handed on")
         expect(self.statuses(), [], "answers on a closed connection")
-        return ConnectionFate.CLOSED
+        return ConnectionState.CLOSED
 
     def finish_requests(self, event: ClientRequestEvent) -> None:
         """Respond to all pending requests; check that each gets one response, in order."""
@@ -184,5 +184,5 @@
             where = f"client request, {state.value}, {event.value}, {data!r}"
             expect(hop.conclusion(state, event), cell.conclusion, where)
             expect(hop.fate_of_next(state), cell.connection, where)
-            if cell.connection is ConnectionFate.IN_USE:
+            if cell.connection is ConnectionState.IN_USE:
                 hop.finish_requests(event)
--- a/simulation/exchange/peer_calls.py
+++ b/simulation/exchange/peer_calls.py
@@ -7,7 +7,7 @@
 
 from cometdoor.dataplane.attempt_replies import classify_reply
 from cometdoor.host.exchange.peer_calls import PeerCallEvent, PeerCallState
-from cometdoor.host.exchange.table import Conclusion, ConnectionFate, TableCell
+from cometdoor.host.exchange.table import Conclusion, ConnectionState, TableCell
 from cometdoor.wire.call_control import CancelCall, Pong
 from cometdoor.wire.connections import CONNECT_TIMEOUT_S, PeerConnections
 from cometdoor.wire.forwarding import AttemptFailed, ForwardRequest, ForwardResponse, NotExecuted
@@ -125,14 +125,14 @@
             return Conclusion.EXECUTED
         return Conclusion.NOT_EXECUTED if result.is_not_executed else Conclusion.MAY_HAVE_EXECUTED
 
-    def connection(self, state: PeerCallState, concluded: Conclusion) -> ConnectionFate:
+    def connection(self, state: PeerCallState, concluded: Conclusion) -> ConnectionState:
         """Return the fate of the connection, by where the next call goes.
 
         Checks that a call reported as not executed is not sent later.
         """
         connection = self.call.connection
         if connection.pending_calls:
-            return ConnectionFate.IN_USE
+            return ConnectionState.IN_USE
         self.loop.holds_connects = False
         if self.loop.connects and not self.loop.transports and not connection.is_closed:
             self.loop.connects[-1].open()
@@ -147,8 +147,8 @@
             expect(
                 self.requests_read(self.transport())[-1], "next", "what the reused connection carries next"
             )
-            return ConnectionFate.REUSABLE
-        return ConnectionFate.CLOSED
+            return ConnectionState.REUSABLE
+        return ConnectionState.CLOSED
 
 
 def play_peer_call(state: PeerCallState, event: PeerCallEvent, cell: TableCell) -> None:
--- a/simulation/exchange/print_tables.py
+++ b/simulation/exchange/print_tables.py
@@ -12,13 +12,13 @@
 
 from cometdoor.host.exchange.inbound_requests import InboundRequestCell
 from cometdoor.host.exchange.keyed_operations import KeyedOperationCell
-from cometdoor.host.exchange.table import Conclusion, ConnectionFate, Impossible, TableCell
+from cometdoor.host.exchange.table import Conclusion, ConnectionState, Impossible, TableCell
 from simulation.exchange.play_tables import TABLES
 
 CONNECTION_WORDS = {
-    ConnectionFate.IN_USE: "in use",
-    ConnectionFate.REUSABLE: "reusable",
-    ConnectionFate.CLOSED: "closed",
+    ConnectionState.IN_USE: "in use",
+    ConnectionState.REUSABLE: "reusable",
+    ConnectionState.CLOSED: "closed",
 }
 CONCLUSION_WORDS = {
     Conclusion.PENDING: "",
--- a/stories/host/test_exchange_table.py
+++ b/stories/host/test_exchange_table.py
@@ -13,14 +13,14 @@
     BackendExchangeState,
 )
 from cometdoor.host.exchange.peer_calls import PEER_CALL, PeerCallEvent, PeerCallState
-from cometdoor.host.exchange.table import Conclusion, ConnectionFate, RetryPermission, TableCell
+from cometdoor.host.exchange.table import Conclusion, ConnectionState, RetryPermission, TableCell
 from simulation.exchange.fuzz import fuzz
 from simulation.exchange.fuzz_backend import play as play_plan
 from simulation.exchange.planted_defects import COUNTEREXAMPLES, DEFECTS, find_violation
 from simulation.exchange.play_tables import TABLES, cells, play
 from simulation.exchange.print_tables import tables
 
-NOTE = Path(__file__).parents[2] / "docs" / "design" / "exchange.md"
+DESIGN_PAGE = Path(__file__).parents[2] / "docs" / "design" / "exchange.md"
 EXAMPLES = 150
 NOTHING_WRITTEN_STATES = (
     BackendExchangeState.CONNECTING,
@@ -67,7 +67,7 @@
     for cell in BACKEND_EXCHANGE.values():
         if isinstance(cell, TableCell) and cell.conclusion is Conclusion.MAY_HAVE_EXECUTED:
             assert (
-                cell.connection is ConnectionFate.CLOSED
+                cell.connection is ConnectionState.CLOSED
                 and cell.retry_permission is RetryPermission.IDEMPOTENT
             )
 
@@ -84,4 +84,4 @@
 
 @test("docs/design/exchange.md prints the table: {hop}")
 def _(hop: str = each(*TABLES)) -> None:
-    assert tables()[hop] in NOTE.read_text()
+    assert tables()[hop] in DESIGN_PAGE.read_text()
--- a/stories/host/test_link_scheduler.py
+++ b/stories/host/test_link_scheduler.py
@@ -70,7 +70,7 @@
 @test("a large message takes as long as the link, and short ones to others are sent meanwhile, at once")
 def _() -> None:
     link = Link(2)
-    began_at = link.loop.time()
+    started_at = link.loop.time()
     link.transports[0].write(LARGE)
     for _ in range(10):
         link.wait(0.02)
@@ -78,8 +78,8 @@
         assert link.raw[1].events[-1] == (link.loop.time(), SHORT)
     link.wait(1.0)
     assert link.raw[0].written() == LARGE
-    lasted_s = link.raw[0].events[-1][0] - began_at
-    assert 0.9 <= lasted_s / (len(LARGE) * 8.0 / (BANDWIDTH_MBPS * 1e6)) <= 1.2, str(lasted_s)
+    duration_s = link.raw[0].events[-1][0] - started_at
+    assert 0.9 <= duration_s / (len(LARGE) * 8.0 / (BANDWIDTH_MBPS * 1e6)) <= 1.2, str(duration_s)
     assert link.scheduler.queued_bytes == 0 and not invariants.violations()
 
 
@@ -90,9 +90,9 @@
     link.transports[1].write(LARGE)
     link.transports[0].write(LARGE[:50_000])
     link.wait(2.0)
-    ends = [raw.events[-1][0] for raw in link.raw]
+    ended_at = [raw.events[-1][0] for raw in link.raw]
     assert link.raw[0].written() == LARGE + LARGE[:50_000] and link.raw[1].written() == LARGE
-    assert ends[1] < ends[0]
+    assert ended_at[1] < ended_at[0]
 
 
 @test("on a connection of HTTP short responses keep their place behind large ones")
--- a/stories/host/test_node_settings.py
+++ b/stories/host/test_node_settings.py
@@ -51,5 +51,8 @@
     text = FILE.replace("outbound", "out").replace('service = "pitch"', "")
     with raises(SettingsError) as problem:
         read_node_settings(text.encode(), "boot.toml", role)
-    wanted = {"dataplane": {"listen-addresses.outbound", "service"}, "controlplane": {"data-directory"}}
-    assert {fault.path for fault in problem.raised.problems} == wanted[role]
+    expected_paths = {
+        "dataplane": {"listen-addresses.outbound", "service"},
+        "controlplane": {"data-directory"},
+    }
+    assert {fault.path for fault in problem.raised.problems} == expected_paths[role]
--- a/tests/host/test_connection_reuse.py
+++ b/tests/host/test_connection_reuse.py
@@ -14,7 +14,8 @@
     ServerConnectionReuse,
 )
 
-LIMITS: dict[str, Callable[[Random], float]] = {  # age in seconds at which a connection is closed silently
+# By name of the case: the age in seconds at which a connection is closed silently.
+CLOSE_AGES: dict[str, Callable[[Random], float]] = {
     "a box that forgets after 5 s": lambda random: 5.0,
     "a server that closes between 0.2 and 0.6 s": lambda random: random.uniform(0.2, 0.6),
     "a server that never closes": lambda random: 1e9,
@@ -22,7 +23,7 @@
 }
 
 
-@pytest.mark.parametrize("name", LIMITS)
+@pytest.mark.parametrize("name", CLOSE_AGES)
 def test_connections_are_reused_up_to_the_age_that_they_survive(name: str) -> None:
     """For each kind of server, losses are bounded after the first thirty calls.
 
@@ -37,31 +38,32 @@
     for seed in range(40):
         random, reuse = Random(f"{name}:{seed}"), ServerConnectionReuse()
         for call in range(400):
-            idle_s, is_not_idempotent, limit_s = (
+            idle_s, is_not_idempotent, close_age_s = (
                 random.expovariate(1.0),
                 random.random() < 0.2,
-                LIMITS[name](random),
+                CLOSE_AGES[name](random),
             )
             if not reuse.is_worth_reusing(idle_s, is_not_idempotent):
-                if limit_s < idle_s and not reuse.is_worth_reusing(idle_s, is_not_idempotent=False):
+                if close_age_s < idle_s and not reuse.is_worth_reusing(idle_s, is_not_idempotent=False):
                     reuse.record_closed(
-                        max(limit_s, MIN_IDLE_S)
+                        max(close_age_s, MIN_IDLE_S)
                     )  # it stays idle until the other side closes it
                 continue
             reused_count += 1
-            if idle_s > limit_s:
+            if idle_s > close_age_s:
                 reuse.record_closed(idle_s)
             else:
                 reuse.record_reused(idle_s)
             if call >= 30:
                 reused_and_lost[is_not_idempotent][0] += 1
-                reused_and_lost[is_not_idempotent][1] += idle_s > limit_s
+                reused_and_lost[is_not_idempotent][1] += idle_s > close_age_s
     assert reused_and_lost[False][1] <= reused_and_lost[False][0] / 7.0
     assert reused_and_lost[True][1] <= reused_and_lost[True][0] / 40.0
-    floor = {"a server that closes between 0.2 and 0.6 s": 0.1, "one in fifty is lost at any age": 0.5}.get(
-        name, 0.95
-    )
-    assert reused_count >= floor * 40 * 400
+    min_reused_share = {
+        "a server that closes between 0.2 and 0.6 s": 0.1,
+        "one in fifty is lost at any age": 0.5,
+    }.get(name, 0.95)
+    assert reused_count >= min_reused_share * 40 * 400
 
 
 def test_close_right_after_a_response_is_not_counted() -> None:
@@ -104,7 +106,7 @@
     connection_reuse, random = ConnectionReuse(), Random(1)
     for _ in range(60):
         connection_reuse.record_closed("s", random.uniform(0.06, 1.0))
-    refused_count = 0
+    new_connection_count = 0
     for _ in range(4000):
         if (
             connection_reuse.is_worth_reusing("s", 0.3, is_not_idempotent=False)
@@ -112,8 +114,8 @@
         ):
             connection_reuse.record_reused("s", 0.3)
         else:
-            refused_count += 1
-    assert refused_count < 500
+            new_connection_count += 1
+    assert new_connection_count < 500
 
 
 def test_pooled_estimate_is_reset_when_no_server_is_left() -> None:
--- a/tests/host/test_fair_share.py
+++ b/tests/host/test_fair_share.py
@@ -76,14 +76,14 @@
 ) -> None:
     quota = SharedQuota(total)
     shares = [quota.add_share(0) for _ in range(OWNERS)]
-    everyone = list(shares)
+    all_shares = list(shares)
     for step, index, count in steps:
         share = shares[index]
         if step == "acquire":
-            free, used = quota.used < total, share.used
-            is_within = used < share.guaranteed
+            has_free_unit, used = quota.used < total, share.used
+            is_within_guarantee = used < share.guaranteed
             acquired = share.acquire()
-            assert acquired or not (is_within and free)
+            assert acquired or not (is_within_guarantee and has_free_unit)
             assert not acquired or share.used <= max(share.guaranteed, quota.max_usable(share))
         elif step == "release" and share.used:
             share.release()
@@ -93,9 +93,9 @@
         elif step == "remove_share":
             quota.remove_share(share)
             shares[index] = quota.add_share(0)
-            everyone.append(shares[index])
-        assert quota.used == sum(share.used for share in everyone) <= total
-        assert all(share.used >= 0 for share in everyone)
+            all_shares.append(shares[index])
+        assert quota.used == sum(share.used for share in all_shares) <= total
+        assert all(share.used >= 0 for share in all_shares)
 
 
 @given(st.integers(2, 50), st.integers(1, 1000))
--- a/tests/host/test_golden_boot.py
+++ b/tests/host/test_golden_boot.py
@@ -35,12 +35,12 @@
         yield
 
 
-def raw(name: str) -> bytes:
+def read_fixture(name: str) -> bytes:
     return (FIXTURES / f"{name}.toml").read_bytes()
 
 
 def node_settings(name: str) -> NodeSettings:
-    return read_node_settings(raw(name), name, FIXTURE["files"][name]["role"])
+    return read_node_settings(read_fixture(name), name, FIXTURE["files"][name]["role"])
 
 
 @FILES
@@ -58,7 +58,9 @@
     recorded, settings = FIXTURE["files"][name], node_settings(name)
     assert {role: settings.internal_address(role) for role in recorded["internal"]} == recorded["internal"]
     assert settings.seed_internal_addresses() == recorded["seeds_internal"]
-    assert {one: settings.bound_value(one, -1.0) for one in recorded["bounds"]} == recorded["bounds"]
+    assert {
+        bound_name: settings.bound_value(bound_name, -1.0) for bound_name in recorded["bounds"]
+    } == recorded["bounds"]
     assert {zone: settings.zone_index(zone) for zone in recorded["zone_places"]} == recorded["zone_places"]
 
 
@@ -66,7 +68,10 @@
     ("name", "role"), [(name, role) for name in FIXTURE["faults"] for role in FIXTURE["faults"][name]]
 )
 def test_invalid_golden_settings_files_have_the_same_problems(name: str, role: str) -> None:
-    assert problem_paths(lambda: read_node_settings(raw(name), name, role)) == FIXTURE["faults"][name][role]
+    assert (
+        problem_paths(lambda: read_node_settings(read_fixture(name), name, role))
+        == FIXTURE["faults"][name][role]
+    )
 
 
 def test_environment_variable_that_names_the_file_is_unchanged() -> None:
@@ -74,12 +79,12 @@
 
 
 def test_processes_read_the_same_bounds_with_the_same_defaults() -> None:
-    asked: dict[str, float] = {}
-    real = NodeSettings.bound_value
+    defaults: dict[str, float] = {}
+    original = NodeSettings.bound_value
 
     def bound_value(self: NodeSettings, name: str, default: float) -> float:
-        asked[name] = default
-        return real(self, name, default)
+        defaults[name] = default
+        return original(self, name, default)
 
     with (
         mock.patch.object(NodeSettings, "bound_value", bound_value),
@@ -88,7 +93,7 @@
         mesh.run(mesh.start_configured())
         mesh.run(mesh.run_traffic(1.0, 20.0))
         assert not mesh.find_violations()
-    assert asked == FIXTURE["bounds that the programs ask for"]
+    assert defaults == FIXTURE["bounds that the programs ask for"]
 
 
 # --- reload ---
@@ -111,7 +116,7 @@
     with simulated_mesh(core=1, planes=1) as mesh:
         mesh.run(mesh.start_configured())
         address = (mesh.core if role == "controlplane" else mesh.planes)[0]
-        kind = ControlPlane if role == "controlplane" else DataPlane
+        process_type = ControlPlane if role == "controlplane" else DataPlane
         started_with = mesh.programs[address].node_settings
         seeds = mesh.programs[address].directory.seeds
         text = mesh.settings(address)[1].read_text()
@@ -125,7 +130,7 @@
         changed = text.replace("seed-nodes = [", 'seed-nodes = ["127.0.9.9:9", "127.0.9.8:9", ')
         assert changed != text
         program = reload(mesh, address, changed.replace("grace-s=6", "grace-s=5"), monkeypatch)
-        assert isinstance(program, kind)
+        assert isinstance(program, process_type)
         assert program.directory.seeds[:2] == ["127.0.9.9:17381", "127.0.9.8:17381"]
         assert program.node_settings == started_with and program.latest_settings != started_with
         assert (
