--- a/cometdoor/host/exchange/backend_exchanges.py
+++ b/cometdoor/host/exchange/backend_exchanges.py
@@ -28,7 +28,7 @@
     PARTIALLY_WRITTEN = "partially written"  # some bytes were written, but not the last
     WRITTEN = "written"  # all bytes were written; no byte of a response was received
     RECEIVING = "receiving"  # some bytes of a response were received
-    AFTER_EXTRA_BYTES = "after extra bytes"  # an interim or another's response, or line ends were received
+    AFTER_EXTRA_BYTES = "after extra bytes"  # written; got an interim or another's response, or line ends
 
 
 class BackendExchangeEvent(Enum):
--- a/cometdoor/host/exchange/client_requests.py
+++ b/cometdoor/host/exchange/client_requests.py
@@ -36,7 +36,7 @@
     """Events from the client, the connection's timeouts, or the balancer's host."""
 
     PARTIAL_REQUEST = "partial request"
-    COMPLETE_REQUEST = "complete request"  # its last byte
+    COMPLETE_REQUEST = "complete request"  # the last byte of a request
     MALFORMED_INPUT = "malformed input"
     TIMED_OUT = "timed out"  # the timeout for reading, idling, or closing
     END_OF_INPUT = "end of input"  # the client has closed its sending side
--- a/cometdoor/host/exchange/keyed_operations.py
+++ b/cometdoor/host/exchange/keyed_operations.py
@@ -15,7 +15,7 @@
     CLAIM_UNKNOWN = "claim unknown"  # no reply to the claim was received: it may be in force
     NOT_STARTED = "not started"  # this proxy owns the claim, and nothing was executed
     RUNNING = "running"  # an attempt is being executed; another one waits
-    QUERIED = "running, queried"  # likewise, and another proxy has asked for the outcome
+    QUERIED = "running, queried"  # likewise, and another proxy has queried the outcome
     DONE = "done"  # executed, and the response is known
     UNKNOWN = "unknown"  # it may have been executed, and there is no response
     REMOTE = "remote"  # another proxy owns the claim and was queried; an attempt waits
--- a/cometdoor/host/link_budget.py
+++ b/cometdoor/host/link_budget.py
@@ -9,11 +9,11 @@
 
 from cometdoor.host.invariants import Invariant
 
-LINK_SHARE = 0.95  # share of the bandwidth in use; the rest is for headers and acknowledgements
+LINK_SHARE = 0.95  # share of the bandwidth that is used; the rest is for headers and acknowledgements
 # Time in which the link sends a chunk, and thus the maximum wait of a short message for one chunk.
 CHUNK_S = 0.02
 BURST_S = 0.01  # size of the bucket in seconds of the rate; timers fire some milliseconds late
-MIN_CHUNK_BYTES = 4096  # limits the overhead of a chunk: a wake-up and a system call
+MIN_CHUNK_BYTES = 4096  # lower limit, because each chunk costs a wake-up and a system call
 # The maximum debt, in seconds of the rate. If short messages alone exceed the configured bandwidth, large
 # messages continue soon after them, because the link may be faster than the settings say.
 MAX_DEBT_S = 0.5
--- a/cometdoor/host/link_scheduler.py
+++ b/cometdoor/host/link_scheduler.py
@@ -51,7 +51,7 @@
         self._budget.spend(size, self._loop.time())
 
     def enqueue(self, transport: ScheduledTransport) -> None:
-        """Add a connection that has large messages to send to the queue."""
+        """Add a connection to the queue; it has a large message to send."""
         self._queue.append(transport)
         if self._timer is None:
             self._send_chunks()
--- a/stories/host/test_node_settings.py
+++ b/stories/host/test_node_settings.py
@@ -34,25 +34,25 @@
 @test("all problems of a settings file are reported at once, each with its place")
 def _() -> None:
     broken = FILE.replace('zone = "recife-a"', "zone = 7").replace('"10.1.0.42:8144"', '"nowhere"')
-    with raises(SettingsError) as problem:
+    with raises(SettingsError) as caught:
         read_node_settings(broken.replace("[7380,7395]", "[7380]").encode(), "boot.toml", "dataplane")
-    assert [fault.path for fault in problem.raised.problems] == ["zone"]
-    with raises(SettingsError) as problem:
+    assert [problem.path for problem in caught.raised.problems] == ["zone"]
+    with raises(SettingsError) as caught:
         read_node_settings(
             broken.replace("zone = 7", 'zone = "z"').replace("[7380,7395]", "[7380]").encode(),
             "boot.toml",
             "dataplane",
         )
-    assert [fault.path for fault in problem.raised.problems] == ["internal-ports", "seed-nodes.0"]
+    assert [problem.path for problem in caught.raised.problems] == ["internal-ports", "seed-nodes.0"]
 
 
 @test("a missing key that a role needs is reported")
 def _(role: str = each("dataplane", "controlplane")) -> None:
     text = FILE.replace("outbound", "out").replace('service = "pitch"', "")
-    with raises(SettingsError) as problem:
+    with raises(SettingsError) as caught:
         read_node_settings(text.encode(), "boot.toml", role)
     expected_paths = {
         "dataplane": {"listen-addresses.outbound", "service"},
         "controlplane": {"data-directory"},
     }
-    assert {fault.path for fault in problem.raised.problems} == expected_paths[role]
+    assert {problem.path for problem in caught.raised.problems} == expected_paths[role]
