--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -30,7 +30,7 @@
 ) -> ProxyHarness:
     scripted_balancer.react = asks
     proxy_harness = await ProxyHarness().start(*members, discovery=discovery.address, is_polled=is_polled)
-    assert (await scripted_balancer.until(api.EndpointsChanged)).kind is EndpointListKind.CACHED
+    assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.CACHED
     return proxy_harness
 
 
@@ -42,16 +42,16 @@
             call = await discovery.next()
             assert call.message.start == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
             call.open_stream()
-            call.chunk(b"\n")
+            call.write_chunk(b"\n")
             call.send_endpoints(43, False, endpoint_entry("s1", "127.0.0.1:9", phase="terminating"))
-            change = await scripted_balancer.until(api.EndpointsChanged)
+            change = await scripted_balancer.wait_for(api.EndpointsChanged)
             assert (change.kind, change.endpoints[0].state) == (
                 EndpointListKind.DELTA,
                 EndpointState.DRAINING,
             )
-            call.chunk(b'{"revision":44,"complete":true,"mem')  # a line in two chunks
-            call.chunk(b'bers":[]}\n')
-            change = await scripted_balancer.until(api.EndpointsChanged)
+            call.write_chunk(b'{"revision":44,"complete":true,"mem')  # a line in two chunks
+            call.write_chunk(b'bers":[]}\n')
+            change = await scripted_balancer.wait_for(api.EndpointsChanged)
             assert (change.kind, change.endpoints) == (EndpointListKind.FULL, ())
 
     run(test)
@@ -80,20 +80,20 @@
             else:
                 call.open_stream()
                 if ending == "nonsense":
-                    call.chunk(b"nonsense\n")
+                    call.write_chunk(b"nonsense\n")
                 else:
                     call.send_endpoints(47, False)
                     assert (
-                        await scripted_balancer.until(api.EndpointsChanged)
+                        await scripted_balancer.wait_for(api.EndpointsChanged)
                     ).kind is EndpointListKind.DELTA
                     call.writer.close()
-            assert (await scripted_balancer.until(api.EndpointsChanged)).kind is EndpointListKind.FAILED
+            assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.FAILED
             again = await discovery.next()
             index = b"47" if ending == "broken later" else b"41"
             assert again.message.start == b"GET /discovery/hosts?stream=1&index=%s HTTP/1.1" % index
             again.open_stream()
             again.send_endpoints(48, False)
-            assert (await scripted_balancer.until(api.EndpointsChanged)).kind is EndpointListKind.DELTA
+            assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.DELTA
 
     run(test)
 
@@ -106,15 +106,15 @@
             before = await old.next()
             before.open_stream()
             before.send_endpoints(47, False, endpoint_entry("s1", "127.0.0.1:9", phase="terminating"))
-            await scripted_balancer.until(api.EndpointsChanged)
+            await scripted_balancer.wait_for(api.EndpointsChanged)
             proxy_harness.node.discovery.set_address(parse_address(old.address))  # it is there already
             proxy_harness.node.discovery.set_address(parse_address(new.address))
             after = await new.next()
             assert after.message.start == b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1"
-            await before.closed()
+            await before.wait_closed()
             after.open_stream()
             after.send_endpoints(3, False, endpoint_entry("s2", "127.0.0.1:9"))
-            change = await scripted_balancer.until(api.EndpointsChanged)
+            change = await scripted_balancer.wait_for(api.EndpointsChanged)
             assert [server.name for server in change.endpoints] == ["s2"]
             assert old.calls.empty()
 
@@ -132,7 +132,7 @@
             call = await discovery.next()
             call.open_stream()
             call.send_endpoints(42, True)
-            assert (await scripted_balancer.until(api.EndpointsChanged)).kind is EndpointListKind.FULL
+            assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.FULL
             kinds = [
                 event.kind for event in scripted_balancer.events if isinstance(event, api.EndpointsChanged)
             ]
@@ -190,13 +190,13 @@
                 scripted_balancer.react = lambda event: (
                     [api.Send(event.request, "s1")] if isinstance(event, api.RequestArrived) else []
                 )
-                caller, other = await proxy_harness.caller(), await proxy_harness.caller()
-                caller.ask()
+                client, other = await proxy_harness.connect(), await proxy_harness.connect()
+                client.send_request()
                 served = await backend.next()
-                other.ask()
+                other.send_request()
                 in_use = await backend.next()
                 served.reply(200)
-                await caller.answer()
+                await client.read_response()
                 if change == "left out":
                     call.send_endpoints(42, True)
                 elif change == "restarted":
@@ -205,10 +205,10 @@
                     )
                 else:
                     call.send_endpoints(42, False, endpoint_entry("s1", backend.address, phase=change))
-                await served.closed()
+                await served.wait_closed()
                 in_use.reply(200, b"to the end")  # and never used again: the name may mean another by then
-                assert (await other.answer()).body == b"to the end"
-                await in_use.closed()
+                assert (await other.read_response()).body == b"to the end"
+                await in_use.wait_closed()
 
     run(test)
 
--- a/tests/http/test_backend_connection.py
+++ b/tests/http/test_backend_connection.py
@@ -18,8 +18,8 @@
 from cometdoor.http.backend_pool import BackendConnectionPool
 from cometdoor.http.messages import Response
 from tests.proxy_harness import (
-    Caller,
     FakeServer,
+    ProxyClient,
     ProxyHarness,
     ScriptedBalancer,
     endpoint_entry,
@@ -28,13 +28,15 @@
     send_all_to,
 )
 
-NEVER_RAN = "X-Never-Ran: 1"
+NOT_EXECUTED_HEADER = "X-Never-Ran: 1"
 
 
-async def one_outcome(scripted_balancer: ScriptedBalancer, caller: Caller, status: int) -> Outcome:
-    caller.ask()
-    ended: api.AttemptEnded = await scripted_balancer.until(api.AttemptEnded)
-    assert (await caller.answer()).status == status
+async def outcome_of_one_request(
+    scripted_balancer: ScriptedBalancer, client: ProxyClient, status: int
+) -> Outcome:
+    client.send_request()
+    ended: api.AttemptEnded = await scripted_balancer.wait_for(api.AttemptEnded)
+    assert (await client.read_response()).status == status
     return ended.outcome
 
 
@@ -48,9 +50,9 @@
         (400, (), Outcome.ERROR),
         (429, (), Outcome.ERROR),
         (204, (), Outcome.ERROR),
-        (500, (NEVER_RAN,), Outcome.ERROR),
-        (503, (NEVER_RAN,), Outcome.REJECTED),
-        (504, (NEVER_RAN,), Outcome.REJECTED),
+        (500, (NOT_EXECUTED_HEADER,), Outcome.ERROR),
+        (503, (NOT_EXECUTED_HEADER,), Outcome.REJECTED),
+        (504, (NOT_EXECUTED_HEADER,), Outcome.REJECTED),
         (503, ("X-Never-Ran: 0",), Outcome.ERROR),
     ],
 )
@@ -58,11 +60,11 @@
     status: int, headers: tuple[str, ...], outcome: Outcome
 ) -> None:
     async def test() -> None:
-        async with proxy_with_one_server() as (backend, scripted_balancer, _, caller):
-            caller.ask()
+        async with proxy_with_one_server() as (backend, scripted_balancer, _, client):
+            client.send_request()
             (await backend.next()).reply(status, b"its own words", *headers)
-            answer = await caller.answer()
-            assert (answer.status, answer.body) == (502, b"")
+            response = await client.read_response()
+            assert (response.status, response.body) == (502, b"")
             assert scripted_balancer.outcomes() == [(0, outcome, False)]
 
     run(test)
@@ -70,14 +72,14 @@
 
 def test_request_on_a_refused_connection_is_not_executed() -> None:
     async def test() -> None:
-        with socket.socket() as held:
-            held.bind(("127.0.0.1", 0))  # bound and not listening
+        with socket.socket() as bound_socket:
+            bound_socket.bind(("127.0.0.1", 0))  # bound and not listening
             with ScriptedBalancer().installed() as scripted_balancer:
                 scripted_balancer.react = send_all_to("s1")
                 proxy_harness = await ProxyHarness().start(
-                    endpoint_entry("s1", f"127.0.0.1:{held.getsockname()[1]}")
+                    endpoint_entry("s1", f"127.0.0.1:{bound_socket.getsockname()[1]}")
                 )
-                outcome = await one_outcome(scripted_balancer, await proxy_harness.caller(), 502)
+                outcome = await outcome_of_one_request(scripted_balancer, await proxy_harness.connect(), 502)
                 assert outcome is Outcome.CONNECT_FAILED
                 assert proxy_harness.descriptors.used == 1  # the caller's
 
@@ -86,40 +88,42 @@
 
 def test_connect_timeout_ends_a_connection_that_does_not_open() -> None:
     async def test() -> None:
-        with socket.socket() as full, ScriptedBalancer().installed() as scripted_balancer:
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
-            others = [socket.socket() for _ in range(4)]
-            for other in others:  # the backlog is full: further connections are not taken up
-                other.setblocking(False)
-                other.connect_ex(full.getsockname())
+        with socket.socket() as full_listener, ScriptedBalancer().installed() as scripted_balancer:
+            full_listener.bind(("127.0.0.1", 0))
+            full_listener.listen(0)
+            backlog_sockets = [socket.socket() for _ in range(4)]
+            for (
+                backlog_socket
+            ) in backlog_sockets:  # the backlog is full: further connections are not taken up
+                backlog_socket.setblocking(False)
+                backlog_socket.connect_ex(full_listener.getsockname())
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(
-                endpoint_entry("s1", f"127.0.0.1:{full.getsockname()[1]}"),
+                endpoint_entry("s1", f"127.0.0.1:{full_listener.getsockname()[1]}"),
                 limits={"connect_timeout_ms": 40.0},
             )
             assert (
-                await one_outcome(scripted_balancer, await proxy_harness.caller(), 502)
+                await outcome_of_one_request(scripted_balancer, await proxy_harness.connect(), 502)
                 is Outcome.CONNECT_FAILED
             )
-            for other in others:
-                other.close()
+            for backlog_socket in backlog_sockets:
+                backlog_socket.close()
 
     run(test)
 
 
 def test_reset_after_the_request_may_have_executed() -> None:
     async def test() -> None:
-        async with proxy_with_one_server() as (backend, scripted_balancer, _, caller):
+        async with proxy_with_one_server() as (backend, scripted_balancer, _, client):
             for ending in ("reset", "half an answer"):
-                caller.ask()
+                client.send_request()
                 call = await backend.next()
                 if ending == "half an answer":
                     call.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
                     call.writer.close()
                 else:
                     call.reset()
-                assert (await caller.answer()).status == 502
+                assert (await client.read_response()).status == 502
             assert scripted_balancer.outcomes() == [(0, Outcome.RESET, False)] * 2
 
     run(test)
@@ -164,12 +168,12 @@
         ):
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            caller = await proxy_harness.caller()
-            caller.ask()
+            client = await proxy_harness.connect()
+            client.send_request()
             call = await backend.next()
             call.writer.write(MALFORMED_RESPONSES[name])
-            assert (await caller.answer()).status == 502
-            await call.closed()
+            assert (await client.read_response()).status == 502
+            await call.wait_closed()
             assert scripted_balancer.outcomes() == [(0, Outcome.ERROR, False)]
             assert proxy_harness.descriptors.used == 1
 
@@ -177,7 +181,7 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "room", "status"),
+    ("size", "buffer_limit", "status"),
     [
         (1 << 20, 0, 502),
         (1 << 20, 2 << 20, 200),
@@ -188,44 +192,44 @@
 )
 @pytest.mark.parametrize("chunked", [False, True])
 def test_response_over_64_kib_is_forwarded_while_the_buffer_has_room(
-    chunked: bool, size: int, room: int, status: int
+    chunked: bool, size: int, buffer_limit: int, status: int
 ) -> None:
     async def test() -> None:
-        with mock.patch("cometdoor.http.backend_pool.MAX_BUFFERED_BYTES", room):
-            async with proxy_with_one_server() as (backend, scripted_balancer, proxy_harness, caller):
-                caller.ask()
+        with mock.patch("cometdoor.http.backend_pool.MAX_BUFFERED_BYTES", buffer_limit):
+            async with proxy_with_one_server() as (backend, scripted_balancer, proxy_harness, client):
+                client.send_request()
                 call, body = await backend.next(), os.urandom(size)
                 if chunked:
                     call.open_stream()
-                    call.chunk(body)
-                    call.chunk(b"")
+                    call.write_chunk(body)
+                    call.write_chunk(b"")
                 else:
                     call.reply(200, body)
-                answer = await caller.answer()
-                assert (answer.status, answer.body) == (status, body if status == 200 else b"")
+                response = await client.read_response()
+                assert (response.status, response.body) == (status, body if status == 200 else b"")
                 assert not proxy_harness.proxy._pool.buffered_bytes
                 assert scripted_balancer.outcomes()[0][1] is (Outcome.OK if status == 200 else Outcome.ERROR)
 
     run(test)
 
 
-@pytest.mark.parametrize("stray", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nz", b"\x00noise"])
-def test_late_extra_bytes_never_reach_the_next_request(stray: bytes) -> None:
+@pytest.mark.parametrize("extra_bytes", [b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nz", b"\x00noise"])
+def test_late_extra_bytes_never_reach_the_next_request(extra_bytes: bytes) -> None:
     """This also holds if the next request comes at once, before the extra bytes."""
 
     async def test() -> None:
-        async with proxy_with_one_server() as (backend, _, _, caller):
-            caller.ask()
+        async with proxy_with_one_server() as (backend, _, _, client):
+            client.send_request()
             first = await backend.next()
             first.reply(200, b"a")
-            assert (await caller.answer()).body == b"a"
-            caller.ask()
+            assert (await client.read_response()).body == b"a"
+            client.send_request()
             second = await backend.next()
             assert second.connection == 2  # the first rests
-            first.writer.write(stray)
-            await first.closed()
+            first.writer.write(extra_bytes)
+            await first.wait_closed()
             second.reply(200, b"b")
-            assert (await caller.answer()).body == b"b"
+            assert (await client.read_response()).body == b"b"
 
     run(test)
 
@@ -234,13 +238,13 @@
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-        caller = await proxy_harness.caller()
-        caller.ask("read", b"", "Connection: keep-alive, X-Mine", "X-Mine: 1", "X-Ours: 2")
+        client = await proxy_harness.connect()
+        client.send_request("read", b"", "Connection: keep-alive, X-Mine", "X-Mine: 1", "X-Ours: 2")
         call = await backend.next()
         assert "x-mine" not in call.message.headers and call.message.headers["x-ours"] == "2"
         call.reply(200, b"", "Connection: X-Theirs", "X-Theirs: 1", "Endpoint-Load-Metrics: \xff what")
-        answer = await caller.answer()
-        assert answer.status == 200 and "x-theirs" not in answer.headers
+        response = await client.read_response()
+        assert response.status == 200 and "x-theirs" not in response.headers
 
     run(test)
 
@@ -260,61 +264,67 @@
         pool = BackendConnectionPool(
             loop, DescriptorQuota(100), idle_close_ms=30_000.0, connect_timeout_ms=250.0
         )
-        on_result: asyncio.Future[Outcome] = loop.create_future()
+        outcome_future: asyncio.Future[Outcome] = loop.create_future()
         exchange = BackendExchange(
-            lambda: b"x" * (64 << 20), lambda result, _: on_result.set_result(result.outcome)
+            lambda: b"x" * (64 << 20), lambda result, _: outcome_future.set_result(result.outcome)
         )
         pool.send("s1", server.sockets[0].getsockname()[:2], exchange)
         writer = await accepted.get()
         assert exchange.stage() is AttemptStage.PARTIALLY_WRITTEN
         writer.transport.abort()
-        assert await on_result is Outcome.DISCONNECTED
+        assert await outcome_future is Outcome.DISCONNECTED
 
     run(test)
 
 
-def set_outcome(on_result: asyncio.Future[Outcome], result: AttemptResult, answer: Response | None) -> None:
-    on_result.set_result(result.outcome)
+def set_outcome(
+    outcome_future: asyncio.Future[Outcome], result: AttemptResult, response: Response | None
+) -> None:
+    outcome_future.set_result(result.outcome)
 
 
-@pytest.mark.parametrize("held", [True, False])
-def test_non_idempotent_request_cut_before_its_last_byte_is_not_executed(held: bool) -> None:
+@pytest.mark.parametrize("delays_last_byte", [True, False])
+def test_non_idempotent_request_cut_before_its_last_byte_is_not_executed(delays_last_byte: bool) -> None:
     """The last byte is held back until the connection has had time to report that it is broken."""
     payload = b"POST / HTTP/1.1\r\n\r\n"
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        for cut_at in range(0 if held else 1, len(payload) + 1):  # at 0 the break may come before the write
-            got: asyncio.Future[bytes] = loop.create_future()
+        for closed_after_bytes in range(
+            0 if delays_last_byte else 1, len(payload) + 1
+        ):  # at 0 the break may come before the write
+            received: asyncio.Future[bytes] = loop.create_future()
 
             async def serve(
                 reader: asyncio.StreamReader,
                 writer: asyncio.StreamWriter,
-                cut_at: int = cut_at,
-                got: asyncio.Future[bytes] = got,
+                closed_after_bytes: int = closed_after_bytes,
+                received: asyncio.Future[bytes] = received,
             ) -> None:
-                got.set_result(await reader.readexactly(cut_at))
+                received.set_result(await reader.readexactly(closed_after_bytes))
                 writer.transport.abort()
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             pool = BackendConnectionPool(
                 loop, DescriptorQuota(100), idle_close_ms=30_000.0, connect_timeout_ms=30_000.0
             )
-            on_result: asyncio.Future[Outcome] = loop.create_future()
-            whole = cut_at == len(payload)
-            delay_s = 0.0 if whole else 30.0
+            outcome_future: asyncio.Future[Outcome] = loop.create_future()
+            is_complete_request = closed_after_bytes == len(payload)
+            delay_s = 0.0 if is_complete_request else 30.0
             with mock.patch.multiple(
                 "cometdoor.http.backend_connection",
                 LAST_BYTE_DELAY_MIN_S=delay_s,
                 LAST_BYTE_DELAY_MAX_S=delay_s,
             ):
                 exchange = BackendExchange(
-                    lambda: payload, partial(set_outcome, on_result), 30.0 if held else 0.0
+                    lambda: payload, partial(set_outcome, outcome_future), 30.0 if delays_last_byte else 0.0
                 )
                 pool.send("s1", server.sockets[0].getsockname()[:2], exchange)
-                outcome = await on_result
-            assert outcome is (Outcome.DISCONNECTED if held and not whole else Outcome.RESET), cut_at
-            assert payload.startswith(await got)
+                outcome = await outcome_future
+            assert outcome is (
+                Outcome.DISCONNECTED if delays_last_byte and not is_complete_request else Outcome.RESET
+            ), closed_after_bytes
+            assert payload.startswith(await received)
             server.close()
 
     run(test)
@@ -323,15 +333,15 @@
 def test_request_cancelled_during_the_last_byte_delay_is_never_completed() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        all_of_it: asyncio.Future[bytes] = loop.create_future()
-        begun: asyncio.Future[bytes] = loop.create_future()
+        remaining_bytes: asyncio.Future[bytes] = loop.create_future()
+        first_bytes: asyncio.Future[bytes] = loop.create_future()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            begun.set_result(await reader.readexactly(4))
+            first_bytes.set_result(await reader.readexactly(4))
             try:
-                all_of_it.set_result(await reader.read())
+                remaining_bytes.set_result(await reader.read())
             except ConnectionError:
-                all_of_it.set_result(b"")
+                remaining_bytes.set_result(b"")
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = BackendConnectionPool(
@@ -340,12 +350,12 @@
         with mock.patch.multiple(
             "cometdoor.http.backend_connection", LAST_BYTE_DELAY_MIN_S=0.05, LAST_BYTE_DELAY_MAX_S=0.05
         ):
-            exchange = BackendExchange(lambda: b"12345", lambda result, answer: None, 30.0)
+            exchange = BackendExchange(lambda: b"12345", lambda result, response: None, 30.0)
             pool.send("s1", server.sockets[0].getsockname()[:2], exchange)
-            await begun
+            await first_bytes
             assert exchange.stage() is AttemptStage.PARTIALLY_WRITTEN
             exchange.abort()
-            assert await all_of_it == b""
+            assert await remaining_bytes == b""
 
     run(test)
 
@@ -353,28 +363,28 @@
 def test_response_to_a_partial_request_counts_and_the_rest_is_never_sent() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        late: asyncio.Future[bytes] = loop.create_future()
+        remaining_bytes: asyncio.Future[bytes] = loop.create_future()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(4)
             writer.write(b"HTTP/1.1 413 Too large\r\nContent-Length: 0\r\n\r\n")
-            late.set_result(await reader.read())
+            remaining_bytes.set_result(await reader.read())
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = BackendConnectionPool(
             loop, DescriptorQuota(100), idle_close_ms=30_000.0, connect_timeout_ms=30_000.0
         )
-        on_result: asyncio.Future[Outcome] = loop.create_future()
+        outcome_future: asyncio.Future[Outcome] = loop.create_future()
         with mock.patch.multiple(
             "cometdoor.http.backend_connection", LAST_BYTE_DELAY_MIN_S=30.0, LAST_BYTE_DELAY_MAX_S=30.0
         ):
             pool.send(
                 "s1",
                 server.sockets[0].getsockname()[:2],
-                BackendExchange(lambda: b"12345", partial(set_outcome, on_result), 30.0),
+                BackendExchange(lambda: b"12345", partial(set_outcome, outcome_future), 30.0),
             )
-            assert await on_result is Outcome.ERROR
-        assert await late == b"" and not pool.buffered_bytes
+            assert await outcome_future is Outcome.ERROR
+        assert await remaining_bytes == b"" and not pool.buffered_bytes
 
     run(test)
 
@@ -383,11 +393,11 @@
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-        caller = await proxy_harness.caller()
-        caller.ask()
+        client = await proxy_harness.connect()
+        client.send_request()
         call = await backend.next()
         call.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         call.reply(200, b"this one")
-        assert (await caller.answer()).body == b"this one"
+        assert (await client.read_response()).body == b"this one"
 
     run(test)
--- a/tests/http/test_backend_pool.py
+++ b/tests/http/test_backend_pool.py
@@ -34,13 +34,13 @@
         ):
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            caller = await proxy_harness.caller()
-            caller.ask()
+            client = await proxy_harness.connect()
+            client.send_request()
             first = await backend.next()
             first.reply(200, b"a")
-            assert (await caller.answer()).body == b"a"
+            assert (await client.read_response()).body == b"a"
             os.write(first.writer.transport.get_extra_info("socket").fileno(), b"HTTP/1.1 200 OK\r\n")
-            exchange = BackendExchange(lambda: b"GET / HTTP/1.1\r\n\r\n", lambda outcome, answer: None)
+            exchange = BackendExchange(lambda: b"GET / HTTP/1.1\r\n\r\n", lambda outcome, response: None)
             assert proxy_harness.proxy._pool.send("s1", parse_address(backend.address), exchange)
             assert (await backend.next()).connection == 2
             assert proxy_harness.descriptors.used == 2  # the caller's and the new one; the stray's is gone
@@ -51,15 +51,15 @@
 @mock.patch("cometdoor.http.backend_pool.REUSE_DELAY_S", -1.0)
 def test_reused_connection_that_breaks_is_an_outcome_and_not_retried() -> None:
     async def test() -> None:
-        async with proxy_with_one_server() as (backend, scripted_balancer, _, caller):
-            caller.ask()
+        async with proxy_with_one_server() as (backend, scripted_balancer, _, client):
+            client.send_request()
             (await backend.next()).reply(200)
-            await caller.answer()
-            caller.ask("pay")
+            await client.read_response()
+            client.send_request("pay")
             call = await backend.next()
             assert call.connection == 1
             call.reset()
-            assert (await caller.answer()).status == 502
+            assert (await client.read_response()).status == 502
             assert scripted_balancer.outcomes()[1:] == [(0, Outcome.RESET, False)]
             assert (backend.connections, backend.calls.empty()) == (1, True)
 
@@ -71,39 +71,39 @@
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address), group_size=1)
-        callers = [await proxy_harness.caller(), await proxy_harness.caller()]
-        for caller in callers:
-            caller.ask()
+        clients = [await proxy_harness.connect(), await proxy_harness.connect()]
+        for client in clients:
+            client.send_request()
         calls = [await backend.next(), await backend.next()]
-        for call, caller in zip(calls, callers, strict=True):
+        for call, client in zip(calls, clients, strict=True):
             call.reply(200)
-            await caller.answer()
+            await client.read_response()
         for _ in range(3):
-            callers[0].ask()
+            clients[0].send_request()
             call = await backend.next()
             assert call.connection == calls[1].connection
             call.reply(200)
-            await callers[0].answer()
+            await clients[0].read_response()
 
     run(test)
 
 
-@pytest.mark.parametrize("how", ["it says so", "more than the answer came"])
-def test_ambiguous_connection_is_not_reused(how: str) -> None:
+@pytest.mark.parametrize("cause", ["Connection: close", "extra bytes after the response"])
+def test_ambiguous_connection_is_not_reused(cause: str) -> None:
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-        caller = await proxy_harness.caller()
+        client = await proxy_harness.connect()
         for number in (1, 2):
-            caller.ask()
+            client.send_request()
             call = await backend.next()
             assert call.connection == number
-            if how == "it says so":
+            if cause == "Connection: close":
                 call.reply(200, b"a", "Connection: close")
             else:
                 call.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\naHTTP/1.1 200 OK\r\n")
-            assert (await caller.answer()).body == b"a"
-            await call.closed()
+            assert (await client.read_response()).body == b"a"
+            await call.wait_closed()
 
     run(test)
 
@@ -114,13 +114,13 @@
             backend,
             _,
             proxy_harness,
-            caller,
+            client,
         ):
-            caller.ask()
+            client.send_request()
             call = await backend.next()
             call.reply(200)
-            await caller.answer()
-            await call.closed()
+            await client.read_response()
+            await call.wait_closed()
             assert proxy_harness.descriptors.used == 1
 
     run(test)
@@ -132,26 +132,26 @@
         with ScriptedBalancer().installed() as scripted_balancer:
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            callers = [
-                await proxy_harness.caller(),
-                await proxy_harness.caller(),
-                await proxy_harness.caller(),
+            clients = [
+                await proxy_harness.connect(),
+                await proxy_harness.connect(),
+                await proxy_harness.connect(),
             ]
-            for caller in callers[:2]:
-                caller.ask()
+            for client in clients[:2]:
+                client.send_request()
             busy, idle = await backend.next(), await backend.next()
             idle.reply(200)
-            await callers[1].answer()
+            await clients[1].read_response()
             scripted_balancer.react = lambda event: (
                 [api.CloseIdleConnections("s1"), api.Fail(event.request)]
                 if isinstance(event, api.RequestArrived)
                 else []
             )
-            callers[2].ask()
-            assert (await callers[2].answer()).status == 502
-            await idle.closed()
+            clients[2].send_request()
+            assert (await clients[2].read_response()).status == 502
+            await idle.wait_closed()
             busy.reply(200, b"spared")
-            assert (await callers[0].answer()).body == b"spared"
+            assert (await clients[0].read_response()).body == b"spared"
 
     run(test)
 
@@ -163,28 +163,28 @@
     """
 
     async def test() -> None:
-        one, two = await FakeServer().start(), await FakeServer().start()
+        first_server, second_server = await FakeServer().start(), await FakeServer().start()
         with ScriptedBalancer().installed() as scripted_balancer:
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(
-                endpoint_entry("s1", one.address),
-                endpoint_entry("s2", two.address),
+                endpoint_entry("s1", first_server.address),
+                endpoint_entry("s2", second_server.address),
                 sockets=DescriptorQuota.RESERVED_DESCRIPTORS + 3,
             )
             proxy_harness.frontend.max_connections = lambda: 2  # type: ignore[method-assign]
-            callers = [await proxy_harness.caller(), await proxy_harness.caller()]
-            callers[0].ask()
-            kept = await one.next()
-            kept.reply(200)
-            await callers[0].answer()
+            clients = [await proxy_harness.connect(), await proxy_harness.connect()]
+            clients[0].send_request()
+            idle_call = await first_server.next()
+            idle_call.reply(200)
+            await clients[0].read_response()
             scripted_balancer.react = send_all_to("s2")
-            callers[0].ask()
-            call = await two.next()
-            await kept.closed()
-            callers[1].ask()
-            assert (await callers[1].answer()).status == 502
+            clients[0].send_request()
+            call = await second_server.next()
+            await idle_call.wait_closed()
+            clients[1].send_request()
+            assert (await clients[1].read_response()).status == 502
             assert scripted_balancer.outcomes()[-1] == (0, Outcome.CONNECT_FAILED, False)
             call.reply(200, b"fine")
-            assert (await callers[0].answer()).body == b"fine"
+            assert (await clients[0].read_response()).body == b"fine"
 
     run(test)
--- a/tests/http/test_frontend.py
+++ b/tests/http/test_frontend.py
@@ -13,8 +13,8 @@
 from cometdoor.balancing import api
 from cometdoor.host.fair_share import DescriptorQuota
 from tests.proxy_harness import (
-    Caller,
     FakeServer,
+    ProxyClient,
     ProxyHarness,
     ScriptedBalancer,
     endpoint_entry,
@@ -24,21 +24,24 @@
 )
 from tests.proxy_harness import encode_head as head
 
-GOOD = ("X-Trace-Id: 1", "X-Qos: read", "X-Expires-In: 1.0")
-PAY = ("POST /pay/1 HTTP/1.1", "X-Trace-Id: 1", "X-Qos: pay", "X-Expires-In: 1.0")
-CHUNKED = head(*PAY, "Transfer-Encoding: chunked")
-BAD_INPUT = {
+VALID_HEADERS = ("X-Trace-Id: 1", "X-Qos: read", "X-Expires-In: 1.0")
+PAY_HEAD_LINES = ("POST /pay/1 HTTP/1.1", "X-Trace-Id: 1", "X-Qos: pay", "X-Expires-In: 1.0")
+CHUNKED_HEAD = head(*PAY_HEAD_LINES, "Transfer-Encoding: chunked")
+INVALID_REQUESTS = {
     "no HTTP": (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
     "an unknown class": (head("GET /fly/1 HTTP/1.1", "X-Trace-Id: 1", "X-Qos: fly", "X-Expires-In: 1"), 404),
     "no class": (head("GET / HTTP/1.1", "X-Trace-Id: 1", "X-Expires-In: 1"), 404),
-    "two classes": (head("GET /pay/1 HTTP/1.1", *GOOD), 400),
+    "two classes": (head("GET /pay/1 HTTP/1.1", *VALID_HEADERS), 400),
     "no id": (head("GET /read/1 HTTP/1.1", "X-Qos: read", "X-Expires-In: 1"), 400),
     "no deadline": (head("GET /read/1 HTTP/1.1", "X-Trace-Id: 1", "X-Qos: read"), 400),
-    "a deadline in words": (head("GET /read/1 HTTP/1.1", *GOOD[:2], "X-Expires-In: soon"), 400),
-    "a deadline that is no number": (head("GET /read/1 HTTP/1.1", *GOOD[:2], "X-Expires-In: nan"), 400),
-    "a deadline without end": (head("GET /read/1 HTTP/1.1", *GOOD[:2], "X-Expires-In: inf"), 400),
-    "a deadline gone by": (head("GET /read/1 HTTP/1.1", *GOOD[:2], "X-Expires-In: -1"), 400),
-    "the wrong method": (head("POST /read/1 HTTP/1.1", *GOOD, "Content-Length: 0"), 405),
+    "a deadline in words": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS[:2], "X-Expires-In: soon"), 400),
+    "a deadline that is no number": (
+        head("GET /read/1 HTTP/1.1", *VALID_HEADERS[:2], "X-Expires-In: nan"),
+        400,
+    ),
+    "a deadline without end": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS[:2], "X-Expires-In: inf"), 400),
+    "a deadline gone by": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS[:2], "X-Expires-In: -1"), 400),
+    "the wrong method": (head("POST /read/1 HTTP/1.1", *VALID_HEADERS, "Content-Length: 0"), 405),
     "no key": (
         head("POST /book/1 HTTP/1.1", "X-Trace-Id: 1", "X-Qos: book", "X-Expires-In: 1", "Content-Length: 0"),
         400,
@@ -50,45 +53,54 @@
         + b"x" * 65537,
         413,
     ),
-    "a large head": (head("GET /read/1 HTTP/1.1", *GOOD, "X-More: " + "x" * 66000), 431),
+    "a large head": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS, "X-More: " + "x" * 66000), 431),
     "a head without end": (b"GET /read/1 HTTP/1.1\r\nX-More: " + b"x" * 50_000, 431),
     "a target without end": (b"GET /" + b"x" * 50_000, 431),
-    "chunk extensions without end": (CHUNKED + b"1;x=" + b"x" * 50_000, 431),
-    "trailers without end": (CHUNKED + b"0\r\nX-More: " + b"x" * 50_000, 431),
-    "a body of 60 MB": (head(*PAY, "Content-Length: 62914560", "Expect: 100-continue"), 413),
-    "a chunked body without end": (CHUNKED + b"fffff\r\n" + b"x" * 70_000, 413),
-    "a negative length": (head(*PAY, "Content-Length: -5"), 400),
-    "a length in words": (head(*PAY, "Content-Length: five"), 400),
-    "two lengths": (head(*PAY, "Content-Length: 5", "Content-Length: 6"), 400),
-    "length before coding": (head(*PAY, "Content-Length: 5", "Transfer-Encoding: chunked"), 400),
-    "length behind coding": (head(*PAY, "Transfer-Encoding: chunked", "Content-Length: 5"), 400),
-    "length and misspelt coding": (head(*PAY, "Content-Length: 5", "Transfer_Encoding: chunked"), 400),
-    "another coding": (head(*PAY, "Transfer-Encoding: gzip, chunked"), 400),
-    "two ids": (head("GET /read/1 HTTP/1.1", *GOOD, "x-trace-id: 2"), 400),
-    "two deadlines": (head("GET /read/1 HTTP/1.1", *GOOD, "X-Expires-In: 2.0"), 400),
-    "two class headers": (head("GET /read/1 HTTP/1.1", *GOOD, "X-Qos: read"), 400),
-    "an id that Connection names": (head("GET /read/1 HTTP/1.1", *GOOD, "Connection: X-Trace-Id"), 400),
-    "a deadline with an underscore": (head("GET /read/1 HTTP/1.1", *GOOD[:2], "X-Expires-In: 1_0"), 400),
-    "a huge deadline": (head("GET /read/1 HTTP/1.1", *GOOD[:2], "X-Expires-In: 1e300"), 400),
+    "chunk extensions without end": (CHUNKED_HEAD + b"1;x=" + b"x" * 50_000, 431),
+    "trailers without end": (CHUNKED_HEAD + b"0\r\nX-More: " + b"x" * 50_000, 431),
+    "a body of 60 MB": (head(*PAY_HEAD_LINES, "Content-Length: 62914560", "Expect: 100-continue"), 413),
+    "a chunked body without end": (CHUNKED_HEAD + b"fffff\r\n" + b"x" * 70_000, 413),
+    "a negative length": (head(*PAY_HEAD_LINES, "Content-Length: -5"), 400),
+    "a length in words": (head(*PAY_HEAD_LINES, "Content-Length: five"), 400),
+    "two lengths": (head(*PAY_HEAD_LINES, "Content-Length: 5", "Content-Length: 6"), 400),
+    "length before coding": (head(*PAY_HEAD_LINES, "Content-Length: 5", "Transfer-Encoding: chunked"), 400),
+    "length behind coding": (head(*PAY_HEAD_LINES, "Transfer-Encoding: chunked", "Content-Length: 5"), 400),
+    "length and misspelt coding": (
+        head(*PAY_HEAD_LINES, "Content-Length: 5", "Transfer_Encoding: chunked"),
+        400,
+    ),
+    "another coding": (head(*PAY_HEAD_LINES, "Transfer-Encoding: gzip, chunked"), 400),
+    "two ids": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS, "x-trace-id: 2"), 400),
+    "two deadlines": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS, "X-Expires-In: 2.0"), 400),
+    "two class headers": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS, "X-Qos: read"), 400),
+    "an id that Connection names": (
+        head("GET /read/1 HTTP/1.1", *VALID_HEADERS, "Connection: X-Trace-Id"),
+        400,
+    ),
+    "a deadline with an underscore": (
+        head("GET /read/1 HTTP/1.1", *VALID_HEADERS[:2], "X-Expires-In: 1_0"),
+        400,
+    ),
+    "a huge deadline": (head("GET /read/1 HTTP/1.1", *VALID_HEADERS[:2], "X-Expires-In: 1e300"), 400),
     "more behind the request than belongs to it": (
-        head("GET /read/1 HTTP/1.1", *GOOD) + b"\x00\x01 garbage",
+        head("GET /read/1 HTTP/1.1", *VALID_HEADERS) + b"\x00\x01 garbage",
         400,
     ),
-    "an upgrade": (head("CONNECT app.svc:1 HTTP/1.1", *GOOD), 400),
+    "an upgrade": (head("CONNECT app.svc:1 HTTP/1.1", *VALID_HEADERS), 400),
 }
 
 
-@pytest.mark.parametrize("name", BAD_INPUT)
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
 def test_malformed_input_gets_4xx_and_the_proxy_serves_on(name: str) -> None:
     async def test() -> None:
-        async with proxy_with_one_server() as (backend, scripted_balancer, proxy_harness, caller):
-            data, status = BAD_INPUT[name]
-            caller.writer.write(data)
-            assert (await caller.answer()).status == status
-            other = await proxy_harness.caller()
-            other.ask()
+        async with proxy_with_one_server() as (backend, scripted_balancer, proxy_harness, client):
+            data, status = INVALID_REQUESTS[name]
+            client.writer.write(data)
+            assert (await client.read_response()).status == status
+            other_client = await proxy_harness.connect()
+            other_client.send_request()
             (await backend.next()).reply(200, b"fine")
-            assert (await other.answer()).body == b"fine"
+            assert (await other_client.read_response()).body == b"fine"
             arrivals = [event for event in scripted_balancer.events if isinstance(event, api.RequestArrived)]
             assert len(arrivals) == 1
 
@@ -97,7 +109,7 @@
 
 def test_request_received_in_chunks_is_one_request() -> None:
     async def test() -> None:
-        async with proxy_with_one_server() as (backend, scripted_balancer, _, caller):
+        async with proxy_with_one_server() as (backend, scripted_balancer, _, client):
             data = head(
                 "POST /pay/1?q=1 HTTP/1.1",
                 "X-Trace-Id: abc",
@@ -107,30 +119,30 @@
                 "Transfer-Encoding: chunked",
             )
             data += b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-            for place in range(0, len(data), 7):
-                caller.writer.write(data[place : place + 7])
-                await caller.writer.drain()
+            for offset in range(0, len(data), 7):
+                client.writer.write(data[offset : offset + 7])
+                await client.writer.drain()
             call = await backend.next()
             assert call.message.start == b"POST /pay/1?q=1 HTTP/1.1"
             assert (call.message.body, call.message.headers["x-trace-id"]) == (b"abcde", "abc")
-            arrival = await scripted_balancer.until(api.RequestArrived)
+            arrival = await scripted_balancer.wait_for(api.RequestArrived)
             assert (arrival.class_index, arrival.cost_ms) == (2, 1.5)
             call.reply(200, b"ok")
-            assert (await caller.answer()).body == b"ok"
+            assert (await client.read_response()).body == b"ok"
 
     run(test)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
-        async with proxy_with_one_server() as (backend, _, _, caller):
+        async with proxy_with_one_server() as (backend, _, _, client):
             for number in range(12):
-                caller.ask(trace=f"t{number}")
+                client.send_request(trace_id=f"t{number}")
             for number in range(12):
                 call = await backend.next()
                 assert call.message.headers["x-trace-id"] == f"t{number}"
                 call.reply(200, b"%d" % number)
-                assert (await caller.answer()).body == b"%d" % number
+                assert (await client.read_response()).body == b"%d" % number
 
     run(test)
 
@@ -139,11 +151,11 @@
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-        caller = await proxy_harness.caller()
-        caller.ask()
+        client = await proxy_harness.connect()
+        client.send_request()
         call = await backend.next()
-        caller.writer.close()
-        await call.closed()  # the module calls the attempt off
+        client.writer.close()
+        await call.wait_closed()  # the module calls the attempt off
         assert not proxy_harness.proxy.has_open_requests()
 
     run(test)
@@ -154,16 +166,16 @@
         discovery = await FakeServer().start()
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(discovery=discovery.address)
-        caller = await proxy_harness.caller()
-        caller.writer.write(head("GET /up HTTP/1.1", "Host: x"))
-        assert (await caller.answer()).status == 503
+        client = await proxy_harness.connect()
+        client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
+        assert (await client.read_response()).status == 503
         call = await discovery.next()
         call.open_stream()
         call.send_endpoints(1, True, endpoint_entry("s1", backend.address))
         while not proxy_harness.proxy.is_ready:
             await asyncio.sleep(0)
-        caller.writer.write(head("GET /up HTTP/1.1", "Host: x"))
-        assert (await caller.answer()).status == 200
+        client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
+        assert (await client.read_response()).status == 200
 
     run(test)
 
@@ -172,12 +184,12 @@
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-        caller = await proxy_harness.caller()
-        caller.ask("read", b"", "Connection: close")
+        client = await proxy_harness.connect()
+        client.send_request("read", b"", "Connection: close")
         (await backend.next()).reply(200, b"x" * 65536)
-        answer = await caller.answer()
-        assert (len(answer.body), answer.headers["connection"]) == (65536, "close")
-        assert await caller.ended()
+        response = await client.read_response()
+        assert (len(response.body), response.headers["connection"]) == (65536, "close")
+        assert await client.is_closed_by_proxy()
 
     run(test)
 
@@ -188,35 +200,35 @@
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-        idle, busy = await proxy_harness.caller(), await proxy_harness.caller()
-        for caller in (idle, busy):
-            caller.writer.write(head("GET /up HTTP/1.1", "Host: x"))
-            await caller.answer()
-        raw = busy.writer.transport.get_extra_info("socket")
-        os.write(raw.fileno(), head("GET /read/1 HTTP/1.1", *GOOD[:2], "X-Expires-In: 9"))
+        idle, busy = await proxy_harness.connect(), await proxy_harness.connect()
+        for client in (idle, busy):
+            client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
+            await client.read_response()
+        raw_socket = busy.writer.transport.get_extra_info("socket")
+        os.write(raw_socket.fileno(), head("GET /read/1 HTTP/1.1", *VALID_HEADERS[:2], "X-Expires-In: 9"))
         proxy_harness.frontend.is_draining = True
         proxy_harness.frontend.close_idle()  # the loop had no chance to read in between
         (await backend.next()).reply(200, b"kept")
-        answer = await busy.answer()
-        assert (answer.body, answer.headers["connection"]) == (b"kept", "close")
-        assert await idle.ended()
+        response = await busy.read_response()
+        assert (response.body, response.headers["connection"]) == (b"kept", "close")
+        assert await idle.is_closed_by_proxy()
 
     run(test)
 
 
-@pytest.mark.parametrize("allowed", [True, False])
-def test_rejection_has_retry_after_where_that_is_allowed(allowed: bool) -> None:
+@pytest.mark.parametrize("retry_after_allowed", [True, False])
+def test_rejection_has_retry_after_where_that_is_allowed(retry_after_allowed: bool) -> None:
     async def test() -> None:
         with ScriptedBalancer().installed() as scripted_balancer:
-            proxy_harness = await ProxyHarness().start(limits={"retry_after": allowed})
+            proxy_harness = await ProxyHarness().start(limits={"retry_after": retry_after_allowed})
             scripted_balancer.react = lambda event: (
                 [api.Reject(event.request, 250.0)] if isinstance(event, api.RequestArrived) else []
             )
-            caller: Caller = await proxy_harness.caller()
-            caller.ask()
-            answer = await caller.answer()
-            assert answer.status == 503
-            assert answer.headers.get("retry-after") == ("0.250" if allowed else None)
+            client: ProxyClient = await proxy_harness.connect()
+            client.send_request()
+            response = await client.read_response()
+            assert response.status == 503
+            assert response.headers.get("retry-after") == ("0.250" if retry_after_allowed else None)
 
     run(test)
 
@@ -224,23 +236,23 @@
 def test_incomplete_request_times_out() -> None:
     async def test() -> None:
         proxy_harness = await ProxyHarness().start()
-        caller = await proxy_harness.caller()
+        client = await proxy_harness.connect()
         with mock.patch("cometdoor.http.client_limits.REQUEST_READ_TIMEOUT_S", 0.05):
-            caller.writer.write(b"GET /read/1 HTTP/1.1\r\nX-Trace")
-            assert (await caller.answer()).status == 408
-            assert await caller.ended()
+            client.writer.write(b"GET /read/1 HTTP/1.1\r\nX-Trace")
+            assert (await client.read_response()).status == 408
+            assert await client.is_closed_by_proxy()
 
     run(test)
 
 
-@pytest.mark.parametrize("said", [b"", b"\r\n"])
-def test_connection_without_a_request_times_out(said: bytes) -> None:
+@pytest.mark.parametrize("first_bytes", [b"", b"\r\n"])
+def test_connection_without_a_request_times_out(first_bytes: bytes) -> None:
     async def test() -> None:
         proxy_harness = await ProxyHarness().start()
         with mock.patch("cometdoor.http.client_limits.REQUEST_READ_TIMEOUT_S", 0.05):
-            caller = await proxy_harness.caller()
-            caller.writer.write(said)
-            assert await caller.ended()
+            client = await proxy_harness.connect()
+            client.writer.write(first_bytes)
+            assert await client.is_closed_by_proxy()
             assert proxy_harness.descriptors.used == 0
 
     run(test)
@@ -250,13 +262,13 @@
     async def test() -> None:
         proxy_harness = await ProxyHarness().start()
         with mock.patch("cometdoor.http.client_limits.REQUEST_READ_TIMEOUT_S", 0.3):
-            caller = await proxy_harness.caller()
-            caller.writer.write(b"GET /read/1 HTTP/1.1\r\nX-Trace")
-            answer = asyncio.ensure_future(caller.answer())
-            while not answer.done():
-                caller.writer.write(b"x")
-                await asyncio.wait([answer], timeout=0.01)
-            assert (await answer).status == 408
+            client = await proxy_harness.connect()
+            client.writer.write(b"GET /read/1 HTTP/1.1\r\nX-Trace")
+            response = asyncio.ensure_future(client.read_response())
+            while not response.done():
+                client.writer.write(b"x")
+                await asyncio.wait([response], timeout=0.01)
+            assert (await response).status == 408
 
     run(test)
 
@@ -270,14 +282,14 @@
         ):
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            idle, busy = await proxy_harness.caller(), await proxy_harness.caller()
-            busy.ask()
+            idle, busy = await proxy_harness.connect(), await proxy_harness.connect()
+            busy.send_request()
             call = await backend.next()
             idle.writer.write(head("GET /up HTTP/1.1", "Host: x"))
-            assert (await idle.answer()).status == 200
-            assert await idle.ended()
+            assert (await idle.read_response()).status == 200
+            assert await idle.is_closed_by_proxy()
             call.reply(200, b"kept")
-            assert (await busy.answer()).body == b"kept"
+            assert (await busy.read_response()).body == b"kept"
 
     run(test)
 
@@ -286,12 +298,14 @@
     async def test() -> None:
         with ScriptedBalancer().installed() as scripted_balancer:
             proxy_harness = await ProxyHarness().start()
-            caller = await proxy_harness.caller()
-            caller.writer.write(
-                b"".join(head("GET /read/1 HTTP/1.1", f"X-Trace-Id: {n}", *GOOD[1:]) for n in range(50))
+            client = await proxy_harness.connect()
+            client.writer.write(
+                b"".join(
+                    head("GET /read/1 HTTP/1.1", f"X-Trace-Id: {n}", *VALID_HEADERS[1:]) for n in range(50)
+                )
             )
-            assert (await caller.answer()).status == 400
-            assert await caller.ended()
+            assert (await client.read_response()).status == 400
+            assert await client.is_closed_by_proxy()
             assert not any(isinstance(event, api.RequestArrived) for event in scripted_balancer.events)
 
     run(test)
@@ -303,17 +317,17 @@
         with ScriptedBalancer().installed() as scripted_balancer:
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            first, other = await proxy_harness.caller(), await proxy_harness.caller()
-            first.ask(trace="same")
+            first, other_client = await proxy_harness.connect(), await proxy_harness.connect()
+            first.send_request(trace_id="same")
             call = await backend.next()
-            other.ask(trace="same")
-            assert (await other.answer()).status == 409
+            other_client.send_request(trace_id="same")
+            assert (await other_client.read_response()).status == 409
             call.reply(200, b"the first's")
-            assert (await first.answer()).body == b"the first's"
+            assert (await first.read_response()).body == b"the first's"
             assert backend.calls.empty()
-            other.ask(trace="same")
+            other_client.send_request(trace_id="same")
             (await backend.next()).reply(200, b"now")
-            assert (await other.answer()).body == b"now"
+            assert (await other_client.read_response()).body == b"now"
 
     run(test)
 
@@ -326,13 +340,13 @@
             "cometdoor.http.frontend", UNUSED_CONNECTION_GRACE_S=0.0, CROWDED_IDLE_TIMEOUT_S=0.0
         ):
             proxy_harness = await ProxyHarness().start(sockets=DescriptorQuota.RESERVED_DESCRIPTORS + 8)
-            silent = [await proxy_harness.caller() for _ in range(12)]
-            usual = await proxy_harness.caller()
-            usual.writer.write(head("GET /up HTTP/1.1", "Host: x"))
-            await usual.answer()
+            silent_clients = [await proxy_harness.connect() for _ in range(12)]
+            regular_client = await proxy_harness.connect()
+            regular_client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
+            await regular_client.read_response()
             assert len(proxy_harness.frontend.connections) <= 4 == proxy_harness.descriptors.used
-            for caller in silent[:9]:
-                assert await caller.ended()
+            for client in silent_clients[:9]:
+                assert await client.is_closed_by_proxy()
 
     run(test)
 
@@ -343,20 +357,20 @@
         proxy_harness = await ProxyHarness().start(
             endpoint_entry("s1", backend.address), sockets=DescriptorQuota.RESERVED_DESCRIPTORS + 8
         )
-        checkers = [await proxy_harness.caller() for _ in range(4)]
-        for caller in checkers:
-            caller.writer.write(head("GET /up HTTP/1.1", "Host: x"))
-            assert (await caller.answer()).status == 200
-        usual = await proxy_harness.caller()
-        usual.ask()
+        health_checkers = [await proxy_harness.connect() for _ in range(4)]
+        for client in health_checkers:
+            client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
+            assert (await client.read_response()).status == 200
+        regular_client = await proxy_harness.connect()
+        regular_client.send_request()
         call = asyncio.ensure_future(backend.next())
-        assert await checkers[0].ended()
+        assert await health_checkers[0].is_closed_by_proxy()
         (await call).reply(200, b"served")
-        assert (await usual.answer()).body == b"served"
-        late = await proxy_harness.caller()
-        late.ask()
+        assert (await regular_client.read_response()).body == b"served"
+        late_client = await proxy_harness.connect()
+        late_client.send_request()
         (await backend.next()).reply()
-        assert (await late.answer()).status == 200
+        assert (await late_client.read_response()).status == 200
 
     run(test)
 
@@ -369,15 +383,15 @@
             proxy_harness = await ProxyHarness().start(
                 endpoint_entry("s1", backend.address), sockets=DescriptorQuota.RESERVED_DESCRIPTORS + 4
             )
-            busy = [await proxy_harness.caller(), await proxy_harness.caller()]
-            for caller in busy:
-                caller.ask()
+            busy = [await proxy_harness.connect(), await proxy_harness.connect()]
+            for client in busy:
+                client.send_request()
             calls = [await backend.next(), await backend.next()]
-            late = await proxy_harness.caller()
-            assert await late.ended()
-            for call, caller in zip(calls, busy, strict=True):
+            late_client = await proxy_harness.connect()
+            assert await late_client.is_closed_by_proxy()
+            for call, client in zip(calls, busy, strict=True):
                 call.reply(200)
-                assert (await caller.answer()).status == 200
+                assert (await client.read_response()).status == 200
 
     run(test)
 
@@ -388,44 +402,44 @@
         proxy_harness.frontend._accept_one = mock.Mock(  # type: ignore[method-assign]
             side_effect=OSError(errno.EMFILE, "Too many open files")
         )
-        caller = await proxy_harness.caller()
+        client = await proxy_harness.connect()
         while not proxy_harness.frontend._accept_one.called:
             await asyncio.sleep(0)
         del proxy_harness.frontend._accept_one
-        caller.writer.write(head("GET /up HTTP/1.1", "Host: x"))
-        assert (await caller.answer()).status == 503
+        client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
+        assert (await client.read_response()).status == 503
 
     run(test)
 
 
-@pytest.mark.parametrize("leaves", [False, True])
-def test_client_that_reads_no_responses_is_disconnected(leaves: bool) -> None:
+@pytest.mark.parametrize("sends_eof", [False, True])
+def test_client_that_reads_no_responses_is_disconnected(sends_eof: bool) -> None:
     async def test() -> None:
         backend = await FakeServer().start()
         with (
             ScriptedBalancer().installed() as scripted_balancer,
-            mock.patch("cometdoor.http.client_limits.IDLE_TIMEOUT_S", 60.0 if leaves else 0.05),
+            mock.patch("cometdoor.http.client_limits.IDLE_TIMEOUT_S", 60.0 if sends_eof else 0.05),
             mock.patch("cometdoor.http.frontend.LINGER_TIMEOUT_S", 0.01),
         ):
             scripted_balancer.react = send_all_to("s1")
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            with socket.socket() as raw:
-                raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-                raw.connect(proxy_harness.frontend.address())
-                raw.setblocking(False)
-                reader, writer = await asyncio.open_connection(sock=raw, limit=1)
-                caller = Caller(reader, writer)
+            with socket.socket() as raw_socket:
+                raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+                raw_socket.connect(proxy_harness.frontend.address())
+                raw_socket.setblocking(False)
+                reader, writer = await asyncio.open_connection(sock=raw_socket, limit=1)
+                client = ProxyClient(reader, writer)
                 while proxy_harness.descriptors.used == 0:
                     await asyncio.sleep(0)
                 while proxy_harness.frontend.connections:
-                    caller.ask()
-                    sent = asyncio.ensure_future(backend.next())
-                    await asyncio.wait([sent], timeout=0.2)
-                    if not sent.done():
-                        sent.cancel()
+                    client.send_request()
+                    receive_task = asyncio.ensure_future(backend.next())
+                    await asyncio.wait([receive_task], timeout=0.2)
+                    if not receive_task.done():
+                        receive_task.cancel()
                         break
-                    sent.result().reply(200, b"x" * 65536)
-                if leaves:
+                    receive_task.result().reply(200, b"x" * 65536)
+                if sends_eof:
                     writer.write_eof()
                 while proxy_harness.frontend.connections:
                     await asyncio.sleep(0.01)
--- a/tests/http/test_memory.py
+++ b/tests/http/test_memory.py
@@ -28,15 +28,15 @@
             gc.set_debug(gc.DEBUG_SAVEALL)
             try:
                 for ending in ("served", "spoilt", "reset", "gone", "malformed", "refused", "silent") * 3:
-                    caller = await proxy_harness.caller()
+                    client = await proxy_harness.connect()
                     if ending == "malformed":
-                        caller.writer.write(b"what\r\n\r\n")
-                        await caller.answer()
+                        client.writer.write(b"what\r\n\r\n")
+                        await client.read_response()
                     elif ending == "refused":
-                        caller.writer.write(encode_head("GET /fly/1 HTTP/1.1"))
-                        await caller.answer()
+                        client.writer.write(encode_head("GET /fly/1 HTTP/1.1"))
+                        await client.read_response()
                     elif ending != "silent":
-                        caller.ask()
+                        client.send_request()
                         call = await backend.next()
                         if ending == "served":
                             call.reply(200, b"x", "Connection: close")
@@ -45,23 +45,23 @@
                         elif ending == "reset":
                             call.reset()
                         if ending != "gone":
-                            await caller.answer()
-                    caller.writer.close()
+                            await client.read_response()
+                    client.writer.close()
                     while proxy_harness.descriptors.used:
                         await asyncio.sleep(0)
                 while proxy_harness.frontend.connections or proxy_harness.proxy._host._requests:
                     await asyncio.sleep(0)
                 gc.collect()
-                ours = Counter(
-                    type(found).__name__
-                    for found in gc.garbage
-                    if type(found).__module__.startswith(("cometdoor", "httptools"))
+                leaked_types = Counter(
+                    type(leaked).__name__
+                    for leaked in gc.garbage
+                    if type(leaked).__module__.startswith(("cometdoor", "httptools"))
                 )
             finally:
                 gc.set_debug(0)
                 gc.garbage.clear()
                 gc.enable()
-            assert not ours
+            assert not leaked_types
             assert not proxy_harness.proxy._open_traces and not proxy_harness.proxy._host._by_client
             assert not (
                 proxy_harness.frontend.timeouts.awaiting_request
--- a/tests/http/test_proxy.py
+++ b/tests/http/test_proxy.py
@@ -27,8 +27,10 @@
     async def test() -> None:
         backend = await FakeServer().start()
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-        caller = await proxy_harness.caller()
-        caller.ask("book", b"\x00\xffbody", "X-Props: a=1", left="1.5", trace="9b1f03aa5c7e2d41")
+        client = await proxy_harness.connect()
+        client.send_request(
+            "book", b"\x00\xffbody", "X-Props: a=1", remaining_s="1.5", trace_id="9b1f03aa5c7e2d41"
+        )
         call = await backend.next()
         assert call.message.start == b"POST /book/7f3a?x=%201 HTTP/1.1"
         assert call.message.body == b"\x00\xffbody"
@@ -36,25 +38,30 @@
         assert (headers["x-trace-id"], headers["idempotency-key"]) == ("9b1f03aa5c7e2d41", "5c0f")
         assert 0 < float(headers["x-expires-in"]) < 1.5
         call.reply(200, b"\x00answer\r\n", "X-Own: kept")
-        answer = await caller.answer()
-        assert (answer.status, answer.body, answer.headers["x-own"]) == (200, b"\x00answer\r\n", "kept")
+        response = await client.read_response()
+        assert (response.status, response.body, response.headers["x-own"]) == (200, b"\x00answer\r\n", "kept")
 
     run(test)
 
 
-@pytest.mark.parametrize("how", ["inline", "off"])
-def test_load_report_of_a_response_reaches_the_balancer(how: str) -> None:
+@pytest.mark.parametrize("report_mode", ["inline", "off"])
+def test_load_report_of_a_response_reaches_the_balancer(report_mode: str) -> None:
     """It was once dropped: over sockets the module never learned that a zone was busy."""
 
     async def test() -> None:
-        async with proxy_with_one_server(report={"how": how}) as (backend, scripted_balancer, _, caller):
-            caller.ask()
+        async with proxy_with_one_server(report={"how": report_mode}) as (
+            backend,
+            scripted_balancer,
+            _,
+            client,
+        ):
+            client.send_request()
             (await backend.next()).reply(
                 200, b"x", "Endpoint-Load-Metrics: TEXT util=0.61, qps=12.5, latency_ms=80"
             )
-            ended = await scripted_balancer.until(api.AttemptEnded)
-            told = {"util": 0.61, "qps": 12.5, "latency_ms": 80.0} if how == "inline" else {}
-            assert dict(ended.load) == told
+            ended = await scripted_balancer.wait_for(api.AttemptEnded)
+            expected_load = {"util": 0.61, "qps": 12.5, "latency_ms": 80.0} if report_mode == "inline" else {}
+            assert dict(ended.load) == expected_load
 
     run(test)
 
@@ -69,9 +76,11 @@
             scripted_balancer.react = lambda event: (
                 [action(event.request)] if isinstance(event, api.RequestArrived) else []
             )
-            caller = await proxy_harness.caller()
-            caller.ask(left="3600")  # held back until near its deadline it would outlast the test
-            assert (await caller.answer()).status == status
+            client = await proxy_harness.connect()
+            client.send_request(
+                remaining_s="3600"
+            )  # held back until near its deadline it would outlast the test
+            assert (await client.read_response()).status == status
 
     run(test)
 
@@ -96,17 +105,17 @@
                 return []
 
             scripted_balancer.react = react
-            caller = await proxy_harness.caller()
-            caller.ask()
-            late = await slow.next()
+            client = await proxy_harness.connect()
+            client.send_request()
+            slow_call = await slow.next()
             (await fast.next()).reply(200, b"fast")
-            assert (await caller.answer()).body == b"fast"
-            await late.closed()
+            assert (await client.read_response()).body == b"fast"
+            await slow_call.wait_closed()
             assert scripted_balancer.outcomes() == [(1, Outcome.OK, True), (0, Outcome.CANCELLED, True)]
             scripted_balancer.react = send_all_to("s2")
-            caller.ask()  # nothing more came for the first: the next answer is the next request's
+            client.send_request()  # nothing more came for the first: the next answer is the next request's
             (await fast.next()).reply(200, b"next")
-            assert (await caller.answer()).body == b"next"
+            assert (await client.read_response()).body == b"next"
 
     run(test)
 
@@ -123,14 +132,14 @@
                 if isinstance(event, api.RequestArrived)
                 else []
             )
-            caller = await proxy_harness.caller()
-            caller.ask()
-            late = await slow.next()
+            client = await proxy_harness.connect()
+            client.send_request()
+            slow_call = await slow.next()
             (await fast.next()).reply(200, b"fast")
-            assert (await caller.answer()).body == b"fast"
-            late.reply(200, b"late")
+            assert (await client.read_response()).body == b"fast"
+            slow_call.reply(200, b"late")
             while len(scripted_balancer.outcomes()) < 2:
-                await scripted_balancer.until(api.AttemptEnded)
+                await scripted_balancer.wait_for(api.AttemptEnded)
             assert scripted_balancer.outcomes() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
 
     run(test)
@@ -150,10 +159,10 @@
                 return []
 
             scripted_balancer.react = react
-            caller = await proxy_harness.caller()
-            caller.ask()
+            client = await proxy_harness.connect()
+            client.send_request()
             (await backend.next()).reply(200, b"one")
-            assert (await caller.answer()).body == b"one"
+            assert (await client.read_response()).body == b"one"
             assert scripted_balancer.outcomes() == [(1, Outcome.NOT_SENT, False), (0, Outcome.OK, True)]
             assert backend.calls.empty()
 
@@ -166,12 +175,12 @@
         with ScriptedBalancer().installed() as scripted_balancer:
             scripted_balancer.react = send_all_to("s1", timeout_ms=30.0)
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            caller = await proxy_harness.caller()
-            caller.ask()
+            client = await proxy_harness.connect()
+            client.send_request()
             call = await backend.next()
             assert float(call.message.headers["x-expires-in"]) <= 0.03
-            assert (await caller.answer()).status == 502
-            await call.closed()
+            assert (await client.read_response()).status == 502
+            await call.wait_closed()
             assert scripted_balancer.outcomes() == [(0, Outcome.TIMEOUT, False)]
 
     run(test)
@@ -188,13 +197,13 @@
                 [api.Send(event.request, "s1")] if isinstance(event, api.RequestArrived) else []
             )
             proxy_harness = await ProxyHarness().start(endpoint_entry("s1", backend.address))
-            caller = await proxy_harness.caller()
+            client = await proxy_harness.connect()
             loop = asyncio.get_running_loop()
-            caller.ask(left="1.2")
-            began = loop.time()
-            assert (await caller.answer()).status == 502
-            assert loop.time() - began < 1.2
-            await scripted_balancer.until(api.ClientDisconnected)
+            client.send_request(remaining_s="1.2")
+            started_at = loop.time()
+            assert (await client.read_response()).status == 502
+            assert loop.time() - started_at < 1.2
+            await scripted_balancer.wait_for(api.ClientDisconnected)
             assert scripted_balancer.outcomes() == [(0, Outcome.TIMEOUT, False)]
 
     run(test)
@@ -212,13 +221,13 @@
                 return []
 
             scripted_balancer.react = react
-            caller = await proxy_harness.caller()
-            caller.ask()
-            assert (await caller.answer()).status == 502
+            client = await proxy_harness.connect()
+            client.send_request()
+            assert (await client.read_response()).status == 502
             scripted_balancer.react = send_all_to("s1")
-            caller.ask()
+            client.send_request()
             (await backend.next()).reply(200, b"fine")
-            assert (await caller.answer()).body == b"fine"
+            assert (await client.read_response()).body == b"fine"
 
     run(test)
 
@@ -228,23 +237,23 @@
         with ScriptedBalancer().installed() as scripted_balancer:
             proxy_harness = await ProxyHarness().start()
             loop = asyncio.get_running_loop()
-            rung: list[float] = []
+            fired_at: list[float] = []
 
             def react(event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.RequestArrived):
                     return [api.SetTimer(77, 7.3)]
                 if isinstance(event, api.TimerFired):
-                    rung.append(loop.time())
+                    fired_at.append(loop.time())
                     return [api.Fail("1")]
                 return []
 
             scripted_balancer.react = react
-            caller = await proxy_harness.caller()
-            began = loop.time()
-            caller.ask()
-            assert (await scripted_balancer.until(api.TimerFired)).token == 77
-            assert rung[0] - began > 0.006
-            assert (await caller.answer()).status == 502
+            client = await proxy_harness.connect()
+            started_at = loop.time()
+            client.send_request()
+            assert (await scripted_balancer.wait_for(api.TimerFired)).token == 77
+            assert fired_at[0] - started_at > 0.006
+            assert (await client.read_response()).status == 502
 
     run(test)
 
@@ -252,10 +261,10 @@
 def test_balancer_gives_a_rejected_client_a_retry_after() -> None:
     async def test() -> None:
         proxy_harness = await ProxyHarness().start()  # no backend is known: nothing can be sent anywhere
-        caller = await proxy_harness.caller()
-        caller.ask()
-        answer = await caller.answer()
-        assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
+        client = await proxy_harness.connect()
+        client.send_request()
+        response = await client.read_response()
+        assert (response.status, response.headers["retry-after"]) == (503, "0.250")
 
     run(test)
 
@@ -264,8 +273,11 @@
     """Several servers died at once, unknown to discovery: each attempt that tried them again was wasted."""
 
     async def test() -> None:
-        gone, alive = [await FakeServer().start() for _ in range(2)], await FakeServer().start()
-        for server in gone:
+        stopped_servers, live_server = (
+            [await FakeServer().start() for _ in range(2)],
+            await FakeServer().start(),
+        )
+        for server in stopped_servers:
             server.stop()
         # Four further tries for all requests together: those after the first refused connections.
         obligations = {
@@ -275,17 +287,23 @@
             "ratio_span_ms": 10_000.0,
         }
         proxy_harness = await ProxyHarness().start(
-            *(endpoint_entry(f"s{place}", server.address) for place, server in enumerate([*gone, alive])),
+            *(
+                endpoint_entry(f"s{index}", server.address)
+                for index, server in enumerate([*stopped_servers, live_server])
+            ),
             obligations=obligations,
         )
-        caller = await proxy_harness.caller()
+        client = await proxy_harness.connect()
         for _ in range(40):
-            caller.ask("pay")
-            call, answer = asyncio.ensure_future(alive.next()), asyncio.ensure_future(caller.answer())
-            await asyncio.wait({call, answer}, return_when=asyncio.FIRST_COMPLETED)
-            assert not answer.done(), "given up on though a server was there"
+            client.send_request("pay")
+            call, response = (
+                asyncio.ensure_future(live_server.next()),
+                asyncio.ensure_future(client.read_response()),
+            )
+            await asyncio.wait({call, response}, return_when=asyncio.FIRST_COMPLETED)
+            assert not response.done(), "given up on though a server was there"
             call.result().reply()
-            assert (await answer).status == 200
+            assert (await response).status == 200
 
     run(test)
 
@@ -296,19 +314,19 @@
     async def test() -> None:
         backends = [await FakeServer().start() for _ in range(2)]
         proxy_harness = await ProxyHarness().start(
-            *(endpoint_entry(f"s{place}", backend.address) for place, backend in enumerate(backends))
+            *(endpoint_entry(f"s{index}", backend.address) for index, backend in enumerate(backends))
         )
-        holding, asking = await proxy_harness.caller(), await proxy_harness.caller()
-        holding.ask("pay")
-        coming = [asyncio.ensure_future(backend.next()) for backend in backends]
-        await asyncio.wait(coming, return_when=asyncio.FIRST_COMPLETED)
-        (place,) = [place for place, task in enumerate(coming) if not task.done()]
-        call = coming[place]
+        busy_client, client = await proxy_harness.connect(), await proxy_harness.connect()
+        busy_client.send_request("pay")
+        receive_tasks = [asyncio.ensure_future(backend.next()) for backend in backends]
+        await asyncio.wait(receive_tasks, return_when=asyncio.FIRST_COMPLETED)
+        (index,) = [index for index, task in enumerate(receive_tasks) if not task.done()]
+        call = receive_tasks[index]
         for _ in range(20):
-            asking.ask("pay")
+            client.send_request("pay")
             (await call).reply()
-            assert (await asking.answer()).status == 200
-            call = asyncio.ensure_future(backends[place].next())
+            assert (await client.read_response()).status == 200
+            call = asyncio.ensure_future(backends[index].next())
 
     run(test)
 
@@ -319,54 +337,54 @@
     async def test() -> None:
         backends = [await FakeServer().start() for _ in range(2)]
         proxy_harness = await ProxyHarness().start(
-            *(endpoint_entry(f"s{place}", backend.address) for place, backend in enumerate(backends))
+            *(endpoint_entry(f"s{index}", backend.address) for index, backend in enumerate(backends))
         )
-        caller = await proxy_harness.caller()
+        client = await proxy_harness.connect()
         for _ in range(30):
-            caller.ask("pay")
-            coming = [asyncio.ensure_future(backend.next()) for backend in backends]
-            (first,), (second,) = await asyncio.wait(coming, return_when=asyncio.FIRST_COMPLETED)
+            client.send_request("pay")
+            receive_tasks = [asyncio.ensure_future(backend.next()) for backend in backends]
+            (first,), (second,) = await asyncio.wait(receive_tasks, return_when=asyncio.FIRST_COMPLETED)
             first.result().reply(503, b"", "X-Never-Ran: 1")
-            answer = asyncio.ensure_future(caller.answer())
-            await asyncio.wait({second, answer}, return_when=asyncio.FIRST_COMPLETED)
-            assert not answer.done(), "given up on though nothing had run"
+            response = asyncio.ensure_future(client.read_response())
+            await asyncio.wait({second, response}, return_when=asyncio.FIRST_COMPLETED)
+            assert not response.done(), "given up on though nothing had run"
             second.result().reply()
-            assert (await answer).status == 200
+            assert (await response).status == 200
 
     run(test)
 
 
 def test_healthy_server_soon_gets_fewer_requests_when_it_rejects() -> None:
     async def test() -> None:
-        passed = 0.0  # seconds, besides those that really pass
+        skipped_s = 0.0  # seconds, besides those that really pass
         clock = time.monotonic
-        with mock.patch("time.monotonic", lambda: clock() + passed):
+        with mock.patch("time.monotonic", lambda: clock() + skipped_s):
             backends = [await FakeServer().start() for _ in range(4)]
             proxy_harness = await ProxyHarness().start(
-                *(endpoint_entry(f"s{place}", backend.address) for place, backend in enumerate(backends))
+                *(endpoint_entry(f"s{index}", backend.address) for index, backend in enumerate(backends))
             )
             counts = [0, 0, 0, 0]
-            turns_away = False
+            is_rejecting = False
 
-            async def serve(place: int) -> None:
+            async def serve(index: int) -> None:
                 while True:
-                    call = await backends[place].next()
-                    counts[place] += 1
-                    if turns_away and place == 0:
+                    call = await backends[index].next()
+                    counts[index] += 1
+                    if is_rejecting and index == 0:
                         call.reply(503, b"", "X-Never-Ran: 1")
                     else:
                         call.reply()
 
-            serving = [asyncio.ensure_future(serve(place)) for place in range(4)]
-            caller = await proxy_harness.caller()
+            serve_tasks = [asyncio.ensure_future(serve(index)) for index in range(4)]
+            client = await proxy_harness.connect()
             for number in range(300):
                 if number == 200:
-                    turns_away, counts[:] = True, [0, 0, 0, 0]
-                caller.ask("pay")
-                assert (await caller.answer()).status == 200
-                passed += 0.1
+                    is_rejecting, counts[:] = True, [0, 0, 0, 0]
+                client.send_request("pay")
+                assert (await client.read_response()).status == 200
+                skipped_s += 0.1
             assert counts[0] < 12, "as many of its 25 turns as when what failed counted for 10 s"
-            for task in serving:
+            for task in serve_tasks:
                 task.cancel()
 
     run(test)
@@ -379,17 +397,20 @@
         backend = await FakeServer().start()
         lanes = [{**LANES[0], "worth": 0.1}, *({**lane, "worth": 10.0} for lane in LANES[1:])]
         proxy_harness = await ProxyHarness().start(
-            *(endpoint_entry(f"s{place}", backend.address) for place in range(10)), lanes=lanes
+            *(endpoint_entry(f"s{index}", backend.address) for index in range(10)), lanes=lanes
         )
-        callers = [await proxy_harness.caller() for _ in range(9)]
-        for caller in callers[:8]:  # of ten that may be out before any answer is in
-            caller.ask("pay")
+        clients = [await proxy_harness.connect() for _ in range(9)]
+        for client in clients[:8]:  # of ten that may be out before any answer is in
+            client.send_request("pay")
             await backend.next()
-        callers[8].ask("read", left="0.4")
-        call, answer = asyncio.ensure_future(backend.next()), asyncio.ensure_future(callers[8].answer())
-        await asyncio.wait({call, answer}, return_when=asyncio.FIRST_COMPLETED)
-        assert not answer.done(), "refused though there is room"
+        clients[8].send_request("read", remaining_s="0.4")
+        call, response = (
+            asyncio.ensure_future(backend.next()),
+            asyncio.ensure_future(clients[8].read_response()),
+        )
+        await asyncio.wait({call, response}, return_when=asyncio.FIRST_COMPLETED)
+        assert not response.done(), "refused though there is room"
         call.result().reply()
-        assert (await answer).status == 200
+        assert (await response).status == 200
 
     run(test)
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -77,7 +77,7 @@
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
         self.writer.write("\r\n".join(lines).encode() + body)
 
-    def chunk(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         self.writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def open_stream(self) -> None:
@@ -85,12 +85,12 @@
 
     def send_endpoints(self, revision: int, complete: bool, *members: dict[str, Any]) -> None:
         line = {"revision": revision, "complete": complete, "members": members}
-        self.chunk(json.dumps(line).encode() + b"\n")
+        self.write_chunk(json.dumps(line).encode() + b"\n")
 
     def reset(self) -> None:
         self.writer.transport.abort()
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         await self.ended.wait()
 
 
@@ -133,24 +133,24 @@
 
     def __init__(self) -> None:
         self.events: list[api.Event] = []
-        self.seen: asyncio.Queue[api.Event] = asyncio.Queue()
+        self.event_queue: asyncio.Queue[api.Event] = asyncio.Queue()
         self.react: Callable[[api.Event], list[api.Action]] = lambda event: []
-        self.is_busy = False
+        self.is_handling = False
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        assert not self.is_busy, "the module was called while it was at work"
-        self.is_busy = True
+        assert not self.is_handling, "the module was called while it was at work"
+        self.is_handling = True
         try:
             self.events.append(event)
-            self.seen.put_nowait(event)
+            self.event_queue.put_nowait(event)
             return self.react(event)
         finally:
-            self.is_busy = False
+            self.is_handling = False
 
-    async def until(self, kind: type[Any]) -> Any:
+    async def wait_for(self, event_type: type[Any]) -> Any:
         while True:
-            event = await self.seen.get()
-            if isinstance(event, kind):
+            event = await self.event_queue.get()
+            if isinstance(event, event_type):
                 return event
 
     def outcomes(self) -> list[tuple[int, api.Outcome, bool]]:
@@ -206,33 +206,38 @@
     }
 
 
-class Caller:
+class ProxyClient:
     """A client of the proxy on one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def ask(
-        self, kind: str = "read", body: bytes = b"", *extra: str, trace: str = "", left: str = "5.0"
+    def send_request(
+        self,
+        request_class: str = "read",
+        body: bytes = b"",
+        *extra_headers: str,
+        trace_id: str = "",
+        remaining_s: str = "5.0",
     ) -> None:
         lines = [
-            f"{'GET' if kind == 'read' else 'POST'} /{kind}/7f3a?x=%201 HTTP/1.1",
+            f"{'GET' if request_class == 'read' else 'POST'} /{request_class}/7f3a?x=%201 HTTP/1.1",
             "Host: app.svc",
-            f"X-Trace-Id: {trace or next(TRACE_IDS)}",
-            f"X-Qos: {kind}",
-            f"X-Expires-In: {left}",
-            *extra,
+            f"X-Trace-Id: {trace_id or next(TRACE_IDS)}",
+            f"X-Qos: {request_class}",
+            f"X-Expires-In: {remaining_s}",
+            *extra_headers,
         ]
-        if kind == "book":
+        if request_class == "book":
             lines.append("Idempotency-Key: 5c0f")
-        if kind != "read":
+        if request_class != "read":
             lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join([*lines, "", ""]).encode() + body)
 
-    async def answer(self) -> Message:
+    async def read_response(self) -> Message:
         return await Message.read(self.reader)
 
-    async def ended(self) -> bool:
+    async def is_closed_by_proxy(self) -> bool:
         try:
             return await self.reader.read(1) == b""
         except ConnectionError:
@@ -267,17 +272,17 @@
         await self.node.start(("127.0.0.1", 0))
         return self
 
-    async def caller(self) -> Caller:
-        return Caller(*await asyncio.open_connection(*self.frontend.address()))
+    async def connect(self) -> ProxyClient:
+        return ProxyClient(*await asyncio.open_connection(*self.frontend.address()))
 
 
 @asynccontextmanager
 async def proxy_with_one_server(
     **settings: Any,
-) -> AsyncIterator[tuple[FakeServer, ScriptedBalancer, ProxyHarness, Caller]]:
+) -> AsyncIterator[tuple[FakeServer, ScriptedBalancer, ProxyHarness, ProxyClient]]:
     """A server, a module that sends all to it, the proxy with these settings, and a caller of the proxy."""
     server = await FakeServer().start()
     with ScriptedBalancer().installed() as scripted_balancer:
         scripted_balancer.react = send_all_to("s1")
         proxy_harness = await ProxyHarness().start(endpoint_entry("s1", server.address), **settings)
-        yield server, scripted_balancer, proxy_harness, await proxy_harness.caller()
+        yield server, scripted_balancer, proxy_harness, await proxy_harness.connect()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.proxy_harness import LANES, Caller, FakeServer, endpoint_entry, make_config, run
+from tests.proxy_harness import LANES, FakeServer, ProxyClient, endpoint_entry, make_config, run
 
 ROOT = Path(__file__).parent.parent
 
@@ -78,27 +78,27 @@
         )
         await until_serving(process)
 
-        async def connect() -> Caller:
-            return Caller(*await asyncio.open_connection("127.0.0.1", port))
+        async def connect() -> ProxyClient:
+            return ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
 
         pending, idle = await connect(), await connect()
         idle.writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert (await idle.answer()).status == 200
-        pending.ask()
+        assert (await idle.read_response()).status == 200
+        pending.send_request()
         call = await backend.next()
         process.send_signal(signal.SIGTERM)
         signalled_at = asyncio.get_running_loop().time()
         late = await connect()  # the platform has not noticed yet
-        late.ask()
+        late.send_request()
         (await backend.next()).reply(200, b"late")
-        assert (await late.answer()).body == b"late"
-        assert await idle.ended()
+        assert (await late.read_response()).body == b"late"
+        assert await idle.is_closed_by_proxy()
         assert asyncio.get_running_loop().time() - signalled_at > 1.5  # the next proxy may not be ready yet
         assert process.returncode is None
         call.reply(200, b"held")
-        answer = await pending.answer()
-        assert (answer.body, answer.headers["connection"]) == (b"held", "close")
-        assert await pending.ended()
+        response = await pending.read_response()
+        assert (response.body, response.headers["connection"]) == (b"held", "close")
+        assert await pending.is_closed_by_proxy()
         assert await process.wait() == 0
 
     run(test)
@@ -116,14 +116,14 @@
         config["settings"]["lanes"] = [{**lane, "aim_ms": 200.0, "deadline_ms": 200.0} for lane in LANES]
         process = await launch(json.dumps(config), tmp_path)
         await until_serving(process)
-        pending = Caller(*await asyncio.open_connection("127.0.0.1", port))
-        partial = Caller(*await asyncio.open_connection("127.0.0.1", port))
-        pending.ask("pay", left="60.0")
+        pending = ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
+        partial = ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
+        pending.send_request("pay", remaining_s="60.0")
         call = await backend.next()
         partial.writer.write(b"GET /read/1 HTTP/1.1\r\nX-Trace")
         process.send_signal(signal.SIGTERM)
-        assert (await pending.answer()).status == 502
-        await call.closed()
+        assert (await pending.read_response()).status == 502
+        await call.wait_closed()
         assert await process.wait() == 0
 
     run(test)
@@ -147,8 +147,8 @@
         await until_serving(process)
         before = await old.next()
         assert before.message.start.endswith(b"index=41 HTTP/1.1")
-        caller = Caller(*await asyncio.open_connection("127.0.0.1", port))
-        caller.ask()
+        client = ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
+        client.send_request()
         call = await backend.next()
         path = tmp_path / "config.json"
         for text, word in (
@@ -165,15 +165,15 @@
                 assert line, "the program ended"
         after = await new.next()
         assert after.message.start == b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1"
-        await before.closed()
+        await before.wait_closed()
         call.reply(200, b"untouched")
-        assert (await caller.answer()).body == b"untouched"
+        assert (await client.read_response()).body == b"untouched"
         after.open_stream()
         other = await FakeServer().start()
         after.send_endpoints(1, True, endpoint_entry("s2", other.address))
-        caller.ask()
+        client.send_request()
         (await other.next()).reply(200, b"new")
-        assert (await caller.answer()).body == b"new"
+        assert (await client.read_response()).body == b"new"
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)  # changes nothing during the shutdown
         assert await process.wait() == 0
