--- a/cometdoor/client/async_client.py
+++ b/cometdoor/client/async_client.py
@@ -176,8 +176,8 @@
                     await connection.open()
                 sent = True
                 response = await connection.exchange(request)
-        except ConnectionFailed as problem:
-            return _AttemptOutcome(None, AttemptResult(None, problem.sent), str(problem))
+        except ConnectionFailed as error:
+            return _AttemptOutcome(None, AttemptResult(None, error.sent), str(error))
         except TimeoutError:
             return _AttemptOutcome(None, AttemptResult(None, sent), "no response by the deadline")
         finally:
--- a/cometdoor/client/connection.py
+++ b/cometdoor/client/connection.py
@@ -102,10 +102,10 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 self._reader, self._writer = await asyncio.open_connection(host, int(port))
-        except (OSError, TimeoutError, ValueError) as problem:
+        except (OSError, TimeoutError, ValueError) as error:
             raise ConnectionFailed(
-                f"not connected: {problem or 'no response'}", sent=False, step="connect", peer=self.address
-            ) from problem
+                f"not connected: {error or 'no response'}", sent=False, step="connect", peer=self.address
+            ) from error
         self.is_open = True
 
     def is_closed_by_peer(self) -> bool:
@@ -136,12 +136,12 @@
                         "the connection ended", sent=True, step="exchange", peer=self.address
                     )
                 parser.feed_data(data)
-        except OSError as problem:
-            raise ConnectionFailed(str(problem), sent=True, step="exchange", peer=self.address) from problem
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as problem:
+        except OSError as error:
+            raise ConnectionFailed(str(error), sent=True, step="exchange", peer=self.address) from error
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             raise ConnectionFailed(
-                f"no HTTP response: {problem}", sent=True, step="exchange", peer=self.address
-            ) from problem
+                f"not a valid HTTP response: {error}", sent=True, step="exchange", peer=self.address
+            ) from error
         self.is_open = parser.should_keep_alive()
         if not self.is_open:
             self.close()
@@ -207,12 +207,12 @@
             return await connection.exchange(
                 encode_request(method, address, path, {"Connection": "close", **headers}, body)
             )
-    except TimeoutError as problem:
+    except TimeoutError as error:
         raise ConnectionFailed(
             f"no response within {timeout_s} s",
             sent=sent,
             step="exchange" if sent else "connect",
             peer=address,
-        ) from problem
+        ) from error
     finally:
         connection.close()
--- a/cometdoor/client/operator.py
+++ b/cometdoor/client/operator.py
@@ -161,8 +161,8 @@
                 if response.status not in (307, 408, 429) and response.status < 500:
                     return response
                 reason = _reason(response)
-            except ConnectionFailed as problem:
-                reason = f"{address}: {problem}"
+            except ConnectionFailed as error:
+                reason = f"{address}: {error}"
             address_index += 1
             await asyncio.sleep(
                 min(delay_s * self._rng.uniform(0.5, 1.0), max(deadline_at - loop.time(), 0.0))
--- a/cometdoor/http/backend_pool.py
+++ b/cometdoor/http/backend_pool.py
@@ -67,10 +67,12 @@
         # Shorter than the backend's timeout: guards against a request on a connection that it is closing.
         self._max_idle_s = max(0.5 * idle_close_ms, 0.9 * idle_close_ms - 250.0) / 1000.0
         self._connect_timeout_ms = connect_timeout_ms
-        self._open: dict[str, set[BackendConnection]] = {}  # all by backend, those in use too
-        self._idle: dict[str, list[BackendConnection]] = {}  # by backend, the most recently used last
-        self._idle_by_age: dict[BackendConnection, None] = {}  # all idle ones, the longest idle first
-        self._idle_timer: asyncio.TimerHandle | None = None  # while any is idle
+        # All connections, both idle and in use.
+        self._connections_by_server: dict[str, set[BackendConnection]] = {}
+        # Idle connections, the most recently used last.
+        self._idle_by_server: dict[str, list[BackendConnection]] = {}
+        self._idle_by_age: dict[BackendConnection, None] = {}  # all idle connections, the longest idle first
+        self._idle_timer: asyncio.TimerHandle | None = None  # set while any connection is idle
         self.reuse = ConnectionReuse()
 
     def send(self, server: str, address: Address, exchange: BackendExchange) -> bool:
@@ -90,7 +92,7 @@
             return False
         connection = BackendConnection(self, server, address, exchange)
         exchange.connection = connection
-        self._open.setdefault(server, set()).add(connection)
+        self._connections_by_server.setdefault(server, set()).add(connection)
         connection.open(self._connect_timeout_ms)
         return True
 
@@ -128,7 +130,7 @@
             Connections on which a request with this id has failed are not used.
         """
         idle_since_max = self.loop.time() - REUSE_DELAY_S
-        for connection in reversed(list(self._idle.get(server, ()))):
+        for connection in reversed(list(self._idle_by_server.get(server, ()))):
             if connection.idle_since > idle_since_max or (
                 connection.failed_request_ids and request_id in connection.failed_request_ids
             ):
@@ -147,7 +149,7 @@
 
     def release(self, connection: BackendConnection) -> None:
         """Add a reusable connection to the idle ones."""
-        self._idle.setdefault(connection.server, []).append(connection)
+        self._idle_by_server.setdefault(connection.server, []).append(connection)
         self._idle_by_age[connection] = None
         connection.idle_since = self.loop.time()
         if self._idle_timer is None:
@@ -172,21 +174,21 @@
         """Remove a closed connection, and release its descriptor; called once for each."""
         self._quota.release()
         self._open_count -= 1
-        of_server = self._open[connection.server]
-        of_server.remove(connection)
-        if not of_server:
-            del self._open[connection.server]
+        server_connections = self._connections_by_server[connection.server]
+        server_connections.remove(connection)
+        if not server_connections:
+            del self._connections_by_server[connection.server]
         if connection in self._idle_by_age:
             self._remove_idle(connection)
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to one backend."""
-        for connection in list(self._idle.get(server, ())):
+        for connection in list(self._idle_by_server.get(server, ())):
             connection.abort()
 
     def retire(self, server: str) -> None:
         """Stop reusing the connections to this backend that are open now; exchanges in progress may end."""
-        for connection in self._open.get(server, ()):
+        for connection in self._connections_by_server.get(server, ()):
             connection.is_retired = True
         self.reuse.forget_server(server)  # a process that listens there later may behave differently
         self.close_idle(server)
@@ -206,7 +208,7 @@
 
     def _remove_idle(self, connection: BackendConnection) -> None:
         del self._idle_by_age[connection]
-        idle = self._idle[connection.server]
-        idle.remove(connection)
-        if not idle:
-            del self._idle[connection.server]
+        idle_connections = self._idle_by_server[connection.server]
+        idle_connections.remove(connection)
+        if not idle_connections:
+            del self._idle_by_server[connection.server]
--- a/cometdoor/http/client_connection.py
+++ b/cometdoor/http/client_connection.py
@@ -66,15 +66,16 @@
         self._headers: Headers = []
         self._body: list[bytes] = []
         self._message_bytes = self._body_bytes = self._chunk_bytes = 0
-        self._incoming: ClientRequest | None = None  # its head is complete, its body not
+        self._incomplete_request: ClientRequest | None = None  # its head is complete, its body not
         self._is_in_request = self._is_in_head = False  # a request's, or its head's, last byte is missing
         self._pipelined: deque[ClientRequest] = deque()
         self._is_reading_paused = self._is_writing_paused = False
         self._ignores_input = False  # input is discarded: it was malformed, or the connection is closing
         self._is_closing = False
-        self._dropped_bytes = 0
+        self._discarded_bytes = 0
         self.service_name: str | None = None
-        self._unread_account: tuple[Any, int] | None = None  # unread bytes, and the service that counts them
+        # The service that counts this client's unread response bytes, and how many it has counted.
+        self._counted_unread_bytes: tuple[Any, int] | None = None
         self._linger_extensions = 10  # linger timeouts that are left while the client reads its last response
 
     # --- called by asyncio ---
@@ -89,8 +90,8 @@
     def data_received(self, data: bytes) -> None:
         """Parse input, and start to serve complete requests."""
         if self._ignores_input:
-            self._dropped_bytes += len(data)
-            if self._dropped_bytes > MAX_LINGER_BYTES:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_LINGER_BYTES:
                 self.abort()
             return
         for offset in range(0, len(data), READ_CHUNK_BYTES):
@@ -116,9 +117,9 @@
             self._ignores_input = True
             if self._pipelined:
                 self._pipelined[-1].keep_alive = False
-        except httptools.HttpParserError as problem:
+        except httptools.HttpParserError as error:
             # httptools wraps what a callback raises.
-            cause = problem.__context__
+            cause = error.__context__
             if isinstance(cause, BadRequestError):
                 # Without the traceback, whose frames refer to this connection and the exception (a cycle).
                 self._reject_input(cause.with_traceback(None))
@@ -146,12 +147,12 @@
         self._on_disconnected()
         self._timeouts.move_to(self._timeouts.lingering, self)  # it may never read its responses
 
-    def connection_lost(self, problem: Exception | None) -> None:
+    def connection_lost(self, error: Exception | None) -> None:
         """Cancel the request in progress, and remove the connection from its owner."""
         self._on_disconnected()
         self._owner.on_closed(self)
         self._transport = self._parser = None  # breaks the reference cycle of parser and connection
-        if self._unread_account is not None:
+        if self._counted_unread_bytes is not None:
             self.update_unread_bytes()
 
     # --- called by httptools ---
@@ -177,7 +178,7 @@
         """Let the reader check the head; httptools turns its BadRequestError into a parser error."""
         assert self._parser is not None and self._transport is not None
         self._is_in_head = False
-        request = self._incoming = ClientRequest(
+        request = self._incomplete_request = ClientRequest(
             self._parser.get_method(), bytes(self._target), self._headers
         )
         self._owner.reader.read(request)
@@ -200,8 +201,8 @@
 
     def on_message_complete(self) -> None:
         """Queue a complete request."""
-        assert self._parser is not None and self._incoming is not None
-        request, self._incoming = self._incoming, None
+        assert self._parser is not None and self._incomplete_request is not None
+        request, self._incomplete_request = self._incomplete_request, None
         self._is_in_request = False
         request.body = b"".join(self._body)
         request.received_bytes = self._message_bytes + self._chunk_bytes  # at most one chunk too many
@@ -302,27 +303,27 @@
 
         `service`: the service of the last request; None: the service that has counted them so far.
         """
-        if self._unread_account is not None:
-            previous, unread_bytes = self._unread_account
-            previous.unread_bytes -= unread_bytes
-            service = service or previous
-            self._unread_account = None
+        if self._counted_unread_bytes is not None:
+            previous_service, unread_bytes = self._counted_unread_bytes
+            previous_service.unread_bytes -= unread_bytes
+            service = service or previous_service
+            self._counted_unread_bytes = None
         unread_bytes = self._transport.get_write_buffer_size() if self._transport is not None else 0
         if unread_bytes and service is not None:
             service.unread_bytes += unread_bytes
-            self._unread_account = service, unread_bytes
-            self._owner.with_unread_responses[self] = None
+            self._counted_unread_bytes = service, unread_bytes
+            self._owner.connections_with_unread_responses[self] = None
         else:
-            self._owner.with_unread_responses.pop(self, None)
+            self._owner.connections_with_unread_responses.pop(self, None)
 
-    def _reject_input(self, problem: BadRequestError) -> None:
+    def _reject_input(self, error: BadRequestError) -> None:
         """Discard further input, and queue an error response in place of the pipelined requests."""
         self._ignores_input = True
         self._is_in_request = False
-        self._incoming = None
+        self._incomplete_request = None
         self._pipelined.clear()
         self._pipelined.append(
-            ClientRequest(b"", b"", [], keep_alive=False, rejection=(problem.status, str(problem).encode()))
+            ClientRequest(b"", b"", [], keep_alive=False, rejection=(error.status, str(error).encode()))
         )
 
     def _half_close(self) -> None:
--- a/cometdoor/http/connection_owner.py
+++ b/cometdoor/http/connection_owner.py
@@ -37,7 +37,7 @@
     limits: ClientLimits
     is_draining: bool
     timeouts: ConnectionTimeouts[ConnectionT]
-    with_unread_responses: dict[ConnectionT, None]
+    connections_with_unread_responses: dict[ConnectionT, None]
     link: LinkScheduler | None
 
     def on_closed(self, connection: ConnectionT) -> None:
--- a/cometdoor/http/frontend.py
+++ b/cometdoor/http/frontend.py
@@ -46,7 +46,7 @@
         All open ones, oldest first.
     timeouts : ConnectionTimeouts[ClientConnection]
         What each connection waits for, and since when.
-    with_unread_responses : dict[ClientConnection, None]
+    connections_with_unread_responses : dict[ClientConnection, None]
         Connections whose clients have not read all of their responses.
     link : LinkScheduler | None
         Schedules what is sent to clients; None: it is sent at once.
@@ -61,7 +61,7 @@
     is_draining: bool = False
     connections: dict[ClientConnection, None] = field(default_factory=dict)
     timeouts: ConnectionTimeouts[ClientConnection] = field(init=False)
-    with_unread_responses: dict[ClientConnection, None] = field(default_factory=dict)
+    connections_with_unread_responses: dict[ClientConnection, None] = field(default_factory=dict)
     link: LinkScheduler | None = None
     _listeners: list[socket.socket] = field(default_factory=list)
     _is_accepting: bool = False
@@ -113,7 +113,7 @@
         """
         for _ in range(MAX_ACCEPTS_PER_TURN):
             try:
-                client_socket = self._accept_one(listener)
+                client_socket = self._accept_socket(listener)
             except BlockingIOError:
                 return
             except ConnectionError:
@@ -121,7 +121,7 @@
             except OSError:
                 self._stop_accepting()  # no descriptor is left; the next sweep accepts again
                 return
-            if len(self.connections) >= self.max_connections() and not self._evict_one():
+            if len(self.connections) >= self.max_connections() and not self._evict_connection():
                 client_socket.close()
                 continue
             client_socket.setblocking(False)
@@ -131,7 +131,7 @@
             self.timeouts.move_to(self.timeouts.awaiting_request, connection)
             connection.accept_task = self.loop.create_task(self._open(connection, client_socket))
 
-    def _accept_one(self, listener: socket.socket) -> socket.socket:
+    def _accept_socket(self, listener: socket.socket) -> socket.socket:
         return listener.accept()[0]
 
     async def _open(self, connection: ClientConnection, client_socket: socket.socket) -> None:
@@ -148,7 +148,7 @@
                 self.loop.remove_reader(listener)
         self._is_accepting = False
 
-    def _evict_one(self) -> bool:
+    def _evict_connection(self) -> bool:
         """Close a connection to make room for a new one; return False if none can be closed.
 
         In this order: a connection that is closing, an idle one that has carried only health checks, one that
@@ -229,7 +229,7 @@
                 idle, now - (CROWDED_IDLE_TIMEOUT_S if is_crowded else self.limits.idle_timeout_s)
             ):
                 connection.close_if_idle()
-        for connection in list(self.with_unread_responses):
+        for connection in list(self.connections_with_unread_responses):
             connection.update_unread_bytes()
         for connection in timeouts.pop_expired(timeouts.lingering, now - LINGER_TIMEOUT_S):
             connection.on_linger_timeout()
--- a/cometdoor/http/graceful_shutdown.py
+++ b/cometdoor/http/graceful_shutdown.py
@@ -16,7 +16,7 @@
 DRAIN_SERVE_S = 2.0  # from SIGTERM until idle connections are closed
 DRAIN_LISTEN_S = 2.1  # from SIGTERM until the listeners are closed
 POLL_INTERVAL_S = 0.02
-MAX_FLUSH_S = 1.5  # for clients to read their last responses
+FLUSH_TIMEOUT_S = 1.5  # for clients to read their last responses
 
 log = logging.getLogger(__name__)
 
@@ -45,8 +45,8 @@
 async def drain_and_stop(frontend: Frontend, drainable: Drainable, fail_after_s: float) -> None:
     """Serve for `DRAIN_SERVE_S`, stop listening, and return when all requests are answered.
 
-    Requests that are still open after `fail_after_s` seconds are failed. Clients have `MAX_FLUSH_S` to read
-    the last responses.
+    Requests that are still open after `fail_after_s` seconds are failed. Clients have `FLUSH_TIMEOUT_S` to
+    read the last responses.
     """
     loop = asyncio.get_running_loop()
     fail_at = loop.time() + fail_after_s
@@ -58,10 +58,10 @@
     frontend.stop_listening()
     log.info("stopped listening; %d requests are open", drainable.open_requests())
     # A client that has stopped in the middle of a request gets no response, and must not delay the end.
-    flush_deadline = loop.time() + MAX_FLUSH_S
+    flush_deadline = loop.time() + FLUSH_TIMEOUT_S
     while drainable.open_requests() or (frontend.connections and loop.time() < flush_deadline):
         if drainable.open_requests():
-            flush_deadline = loop.time() + MAX_FLUSH_S
+            flush_deadline = loop.time() + FLUSH_TIMEOUT_S
             if loop.time() >= fail_at:
                 log.warning("shutdown deadline: %d open requests fail", drainable.open_requests())
                 drainable.fail_all()
--- a/cometdoor/http/json_api.py
+++ b/cometdoor/http/json_api.py
@@ -35,7 +35,7 @@
 def path_segments(request: ClientRequest) -> tuple[str, ...]:
     """Return the non-empty segments of a request's path."""
     path = request.target.split(b"?", 1)[0].decode("latin-1")
-    return tuple(part for part in path.split("/") if part)
+    return tuple(segment for segment in path.split("/") if segment)
 
 
 def respond_error(
--- a/cometdoor/http/messages.py
+++ b/cometdoor/http/messages.py
@@ -172,8 +172,8 @@
 
 def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that are forwarded to the next hop."""
-    dropped = HOP_BY_HOP_HEADERS | connection_options(headers)
-    return [header for header in headers if header[0].lower() not in dropped]
+    excluded_names = HOP_BY_HOP_HEADERS | connection_options(headers)
+    return [header for header in headers if header[0].lower() not in excluded_names]
 
 
 def check_framing(headers: HeadersByName, max_body_bytes: int = MAX_REQUEST_BODY_BYTES) -> None:
--- a/cometdoor/http/platform_requests.py
+++ b/cometdoor/http/platform_requests.py
@@ -36,10 +36,10 @@
 
     def _read_fields(self, request: ClientRequest, headers: dict[bytes, bytes]) -> None:
         path_class = request.target.split(b"?", 1)[0].split(b"/")[1:2]
-        name = headers.get(b"x-qos") or (path_class[0] if path_class else b"")
-        if path_class != [name]:
+        class_name = headers.get(b"x-qos") or (path_class[0] if path_class else b"")
+        if path_class != [class_name]:
             raise BadRequestError(400, "the path names another class than X-Qos")
-        class_index = self._classes.get(name)
+        class_index = self._classes.get(class_name)
         if class_index is None:
             raise BadRequestError(404, "unknown class")
         request.class_index = class_index
@@ -53,8 +53,8 @@
             raise BadRequestError(400, "X-Trace-Id is missing")
         try:
             request.remaining_ms = min(parse_decimal(headers[b"x-expires-in"]) * 1000.0, cls.deadline_ms)
-            hint = headers.get(b"x-size-hint")
-            request.cost_ms = parse_decimal(hint) / 1000.0 if hint else None
+            size_hint = headers.get(b"x-size-hint")
+            request.cost_ms = parse_decimal(size_hint) / 1000.0 if size_hint else None
         except (KeyError, ValueError):
             raise BadRequestError(400, "X-Expires-In or X-Size-Hint is missing or no number") from None
         if request.remaining_ms <= 0:
--- a/cometdoor/http/service.py
+++ b/cometdoor/http/service.py
@@ -176,7 +176,7 @@
 
     def accept(self, connection: ClientConnection, request: ClientRequest) -> None:
         """Serve a request; respond 503 at a limit, and 409 if its trace id is that of an open request."""
-        if self._is_full():
+        if self._is_at_limit():
             connection.on_rejected(self._host.suggested_retry_after_ms(request))
         elif request.trace in self._open_traces:
             # A server would take it for a hedge of the other client's request.
@@ -188,7 +188,7 @@
             self._request_bytes += request.received_bytes
             self._host.accept(connection, request)
 
-    def _is_full(self) -> bool:
+    def _is_at_limit(self) -> bool:
         limits = self._limits
         return (limits.open_requests is not None and self._host.open_requests() >= limits.open_requests) or (
             limits.buffered_bytes is not None and self.buffered_bytes() >= limits.buffered_bytes
--- a/tests/http/test_frontend.py
+++ b/tests/http/test_frontend.py
@@ -399,13 +399,13 @@
 def test_listener_survives_a_lack_of_descriptors() -> None:
     async def test() -> None:
         proxy_harness = await ProxyHarness().start()
-        proxy_harness.frontend._accept_one = mock.Mock(  # type: ignore[method-assign]
+        proxy_harness.frontend._accept_socket = mock.Mock(  # type: ignore[method-assign]
             side_effect=OSError(errno.EMFILE, "Too many open files")
         )
         client = await proxy_harness.connect()
-        while not proxy_harness.frontend._accept_one.called:
+        while not proxy_harness.frontend._accept_socket.called:
             await asyncio.sleep(0)
-        del proxy_harness.frontend._accept_one
+        del proxy_harness.frontend._accept_socket
         client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
         assert (await client.read_response()).status == 503
 
