--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -40,7 +40,7 @@
         with ScriptedBalancer().installed() as scripted_balancer:
             await started(scripted_balancer, discovery, endpoint_entry("s1", "127.0.0.1:9"))
             call = await discovery.next()
-            assert call.message.start == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
+            assert call.message.start_line == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
             call.open_stream()
             call.write_chunk(b"\n")
             call.send_endpoints(43, False, endpoint_entry("s1", "127.0.0.1:9", phase="terminating"))
@@ -90,7 +90,7 @@
             assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.FAILED
             again = await discovery.next()
             index = b"47" if ending == "broken later" else b"41"
-            assert again.message.start == b"GET /discovery/hosts?stream=1&index=%s HTTP/1.1" % index
+            assert again.message.start_line == b"GET /discovery/hosts?stream=1&index=%s HTTP/1.1" % index
             again.open_stream()
             again.send_endpoints(48, False)
             assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.DELTA
@@ -110,7 +110,7 @@
             proxy_harness.node.discovery.set_address(parse_address(old.address))  # it is there already
             proxy_harness.node.discovery.set_address(parse_address(new.address))
             after = await new.next()
-            assert after.message.start == b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1"
+            assert after.message.start_line == b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1"
             await before.wait_closed()
             after.open_stream()
             after.send_endpoints(3, False, endpoint_entry("s2", "127.0.0.1:9"))
--- a/tests/http/test_backend_connection.py
+++ b/tests/http/test_backend_connection.py
@@ -35,9 +35,9 @@
     scripted_balancer: ScriptedBalancer, client: ProxyClient, status: int
 ) -> Outcome:
     client.send_request()
-    ended: api.AttemptEnded = await scripted_balancer.wait_for(api.AttemptEnded)
+    attempt_ended: api.AttemptEnded = await scripted_balancer.wait_for(api.AttemptEnded)
     assert (await client.read_response()).status == status
-    return ended.outcome
+    return attempt_ended.outcome
 
 
 @pytest.mark.parametrize(
@@ -207,7 +207,7 @@
                     call.reply(200, body)
                 response = await client.read_response()
                 assert (response.status, response.body) == (status, body if status == 200 else b"")
-                assert not proxy_harness.proxy._pool.buffered_bytes
+                assert not proxy_harness.service._pool.buffered_bytes
                 assert scripted_balancer.outcomes()[0][1] is (Outcome.OK if status == 200 else Outcome.ERROR)
 
     run(test)
@@ -225,7 +225,7 @@
             assert (await client.read_response()).body == b"a"
             client.send_request()
             second = await backend.next()
-            assert second.connection == 2  # the first is not reused yet
+            assert second.connection_number == 2  # the first is not reused yet
             first.writer.write(extra_bytes)
             await first.wait_closed()
             second.reply(200, b"b")
--- a/tests/http/test_backend_pool.py
+++ b/tests/http/test_backend_pool.py
@@ -41,8 +41,8 @@
             assert (await client.read_response()).body == b"a"
             os.write(first.writer.transport.get_extra_info("socket").fileno(), b"HTTP/1.1 200 OK\r\n")
             exchange = BackendExchange(lambda: b"GET / HTTP/1.1\r\n\r\n", lambda outcome, response: None)
-            assert proxy_harness.proxy._pool.send("s1", parse_address(backend.address), exchange)
-            assert (await backend.next()).connection == 2
+            assert proxy_harness.service._pool.send("s1", parse_address(backend.address), exchange)
+            assert (await backend.next()).connection_number == 2
             assert proxy_harness.descriptors.used == 2  # the client's and the new one; the first is closed
 
     run(test)
@@ -57,11 +57,11 @@
             await client.read_response()
             client.send_request("pay")
             call = await backend.next()
-            assert call.connection == 1
+            assert call.connection_number == 1
             call.reset()
             assert (await client.read_response()).status == 502
             assert scripted_balancer.outcomes()[1:] == [(0, Outcome.RESET, False)]
-            assert (backend.connections, backend.calls.empty()) == (1, True)
+            assert (backend.connection_count, backend.calls.empty()) == (1, True)
 
     run(test)
 
@@ -81,7 +81,7 @@
         for _ in range(3):
             clients[0].send_request()
             call = await backend.next()
-            assert call.connection == calls[1].connection
+            assert call.connection_number == calls[1].connection_number
             call.reply(200)
             await clients[0].read_response()
 
@@ -97,7 +97,7 @@
         for number in (1, 2):
             client.send_request()
             call = await backend.next()
-            assert call.connection == number
+            assert call.connection_number == number
             if cause == "Connection: close":
                 call.reply(200, b"a", "Connection: close")
             else:
--- a/tests/http/test_frontend.py
+++ b/tests/http/test_frontend.py
@@ -123,7 +123,7 @@
                 client.writer.write(data[offset : offset + 7])
                 await client.writer.drain()
             call = await backend.next()
-            assert call.message.start == b"POST /pay/1?q=1 HTTP/1.1"
+            assert call.message.start_line == b"POST /pay/1?q=1 HTTP/1.1"
             assert (call.message.body, call.message.headers["x-trace-id"]) == (b"abcde", "abc")
             arrival = await scripted_balancer.wait_for(api.RequestArrived)
             assert (arrival.class_index, arrival.cost_ms) == (2, 1.5)
@@ -156,7 +156,7 @@
         call = await backend.next()
         client.writer.close()
         await call.wait_closed()  # the balancer cancels the attempt
-        assert not proxy_harness.proxy.has_open_requests()
+        assert not proxy_harness.service.has_open_requests()
 
     run(test)
 
@@ -172,7 +172,7 @@
         call = await discovery.next()
         call.open_stream()
         call.send_endpoints(1, True, endpoint_entry("s1", backend.address))
-        while not proxy_harness.proxy.is_ready:
+        while not proxy_harness.service.is_ready:
             await asyncio.sleep(0)
         client.writer.write(head("GET /up HTTP/1.1", "Host: x"))
         assert (await client.read_response()).status == 200
--- a/tests/http/test_memory.py
+++ b/tests/http/test_memory.py
@@ -49,7 +49,7 @@
                     client.writer.close()
                     while proxy_harness.descriptors.used:
                         await asyncio.sleep(0)
-                while proxy_harness.frontend.connections or proxy_harness.proxy._host._requests:
+                while proxy_harness.frontend.connections or proxy_harness.service._host._requests:
                     await asyncio.sleep(0)
                 gc.collect()
                 leaked_types = Counter(
@@ -62,7 +62,7 @@
                 gc.garbage.clear()
                 gc.enable()
             assert not leaked_types
-            assert not proxy_harness.proxy._open_traces and not proxy_harness.proxy._host._by_client
+            assert not proxy_harness.service._open_traces and not proxy_harness.service._host._by_client
             assert not (
                 proxy_harness.frontend.timeouts.awaiting_request
                 or proxy_harness.frontend.timeouts.idle
--- a/tests/http/test_proxy.py
+++ b/tests/http/test_proxy.py
@@ -32,7 +32,7 @@
             "book", b"\x00\xffbody", "X-Props: a=1", remaining_s="1.5", trace_id="9b1f03aa5c7e2d41"
         )
         call = await backend.next()
-        assert call.message.start == b"POST /book/7f3a?x=%201 HTTP/1.1"
+        assert call.message.start_line == b"POST /book/7f3a?x=%201 HTTP/1.1"
         assert call.message.body == b"\x00\xffbody"
         headers = call.message.headers
         assert (headers["x-trace-id"], headers["idempotency-key"]) == ("9b1f03aa5c7e2d41", "5c0f")
@@ -59,9 +59,9 @@
             (await backend.next()).reply(
                 200, b"x", "Endpoint-Load-Metrics: TEXT util=0.61, qps=12.5, latency_ms=80"
             )
-            ended = await scripted_balancer.wait_for(api.AttemptEnded)
+            attempt_ended = await scripted_balancer.wait_for(api.AttemptEnded)
             expected_load = {"util": 0.61, "qps": 12.5, "latency_ms": 80.0} if report_mode == "inline" else {}
-            assert dict(ended.load) == expected_load
+            assert dict(attempt_ended.load) == expected_load
 
     run(test)
 
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -45,12 +45,12 @@
 class Message:
     """A request or a response as received on a socket."""
 
-    def __init__(self, start: bytes, headers: dict[str, str], body: bytes) -> None:
-        self.start, self.headers, self.body = start, headers, body
+    def __init__(self, start_line: bytes, headers: dict[str, str], body: bytes) -> None:
+        self.start_line, self.headers, self.body = start_line, headers, body
 
     @property
     def status(self) -> int:
-        return int(self.start.split()[1])
+        return int(self.start_line.split()[1])
 
     @staticmethod
     async def read(reader: asyncio.StreamReader) -> Message:
@@ -70,8 +70,8 @@
     message: Message
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    connection: int
-    ended: asyncio.Event  # set when the proxy has closed the connection
+    connection_number: int
+    closed_event: asyncio.Event  # set when the proxy has closed the connection
 
     def reply(self, status: int = 200, body: bytes = b"", *headers: str) -> None:
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
@@ -91,7 +91,7 @@
         self.writer.transport.abort()
 
     async def wait_closed(self) -> None:
-        await self.ended.wait()
+        await self.closed_event.wait()
 
 
 class FakeServer:
@@ -99,7 +99,7 @@
 
     def __init__(self) -> None:
         self.calls: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
-        self.connections = 0
+        self.connection_count = 0
         self.address = ""
         self._server: asyncio.Server | None = None
 
@@ -110,14 +110,14 @@
         return self
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        number, ended = self.connections, asyncio.Event()
+        self.connection_count += 1
+        number, closed_event = self.connection_count, asyncio.Event()
         try:
             while True:
                 message = await Message.read(reader)
-                self.calls.put_nowait(ReceivedRequest(message, reader, writer, number, ended))
+                self.calls.put_nowait(ReceivedRequest(message, reader, writer, number, closed_event))
         except (asyncio.IncompleteReadError, ConnectionError):
-            ended.set()
+            closed_event.set()
             writer.close()
 
     async def next(self) -> ReceivedRequest:
@@ -250,7 +250,7 @@
     def __init__(self) -> None:
         self.node: Node
         self.frontend: Frontend
-        self.proxy: HttpService
+        self.service: HttpService
         self.descriptors: DescriptorQuota
 
     async def start(
@@ -264,7 +264,7 @@
         settings["discovery_mode"] = "subscribe" if is_polled else "automatic"
         config = read_config(make_config("127.0.0.1:1", discovery, *members, sockets=sockets, **settings), {})
         self.node = Node(config, asyncio.get_running_loop())
-        self.frontend, self.proxy, self.descriptors = (
+        self.frontend, self.service, self.descriptors = (
             self.node.frontend,
             self.node.service,
             self.node.descriptors,
--- a/tests/services/test_request_reader.py
+++ b/tests/services/test_request_reader.py
@@ -98,7 +98,7 @@
             harness.send_request("GET http://a.example.org:80/x?y=1 HTTP/1.1", "Host: other")
         )
         call = await server.next()
-        assert call.message.start == b"GET /x?y=1 HTTP/1.1"
+        assert call.message.start_line == b"GET /x?y=1 HTTP/1.1"
         assert call.message.headers["host"] == "a.example.org:80"
         assert 0.0 < float(call.message.headers["x-expires-in"]) < 1.0
         call.reply(200, b"x")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -146,7 +146,7 @@
         process = await launch(json.dumps(config), tmp_path)
         await until_serving(process)
         before = await old.next()
-        assert before.message.start.endswith(b"index=41 HTTP/1.1")
+        assert before.message.start_line.endswith(b"index=41 HTTP/1.1")
         client = ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
         client.send_request()
         call = await backend.next()
@@ -164,7 +164,7 @@
             while word not in (line := await process.stderr.readline()):
                 assert line, "the program ended"
         after = await new.next()
-        assert after.message.start == b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1"
+        assert after.message.start_line == b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1"
         await before.wait_closed()
         call.reply(200, b"untouched")
         assert (await client.read_response()).body == b"untouched"
