--- a/cometdoor/http/frontend.py
+++ b/cometdoor/http/frontend.py
@@ -23,7 +23,7 @@
 LINGER_TIMEOUT_S = 0.5  # during which the input of a closing connection is read and discarded
 SWEEP_INTERVAL_S = 0.1
 MAX_EVICTION_CANDIDATES = 8  # checked per new connection, to limit the cost of a burst of hundreds
-MAX_ACCEPTS_PER_TURN = 32  # per iteration of the event loop, which closes the sockets of rejected ones
+MAX_ACCEPTS_PER_TURN = 32  # per iteration of the event loop, which closes rejected connections' sockets
 
 
 @dataclass
--- a/tests/http/test_backend_connection.py
+++ b/tests/http/test_backend_connection.py
@@ -92,9 +92,8 @@
             full_listener.bind(("127.0.0.1", 0))
             full_listener.listen(0)
             backlog_sockets = [socket.socket() for _ in range(4)]
-            for (
-                backlog_socket
-            ) in backlog_sockets:  # these fill the backlog, so that further connections stay pending
+            # The backlog becomes full, so that further connections stay pending.
+            for backlog_socket in backlog_sockets:
                 backlog_socket.setblocking(False)
                 backlog_socket.connect_ex(full_listener.getsockname())
             scripted_balancer.react = send_all_to("s1")
@@ -290,9 +289,8 @@
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        for closed_after_bytes in range(
-            0 if delays_last_byte else 1, len(payload) + 1
-        ):  # at 0 the connection may be closed before the write
+        # At 0 bytes the connection may be closed before the write.
+        for closed_after_bytes in range(0 if delays_last_byte else 1, len(payload) + 1):
             received: asyncio.Future[bytes] = loop.create_future()
 
             async def serve(
--- a/tests/http/test_proxy.py
+++ b/tests/http/test_proxy.py
@@ -77,9 +77,8 @@
                 [action(event.request)] if isinstance(event, api.RequestArrived) else []
             )
             client = await proxy_harness.connect()
-            client.send_request(
-                remaining_s="3600"
-            )  # a response delayed until the deadline would outlast the test
+            # A response that was delayed until near this deadline would outlast the test.
+            client.send_request(remaining_s="3600")
             assert (await client.read_response()).status == status
 
     run(test)
@@ -113,7 +112,8 @@
             await slow_call.wait_closed()
             assert scripted_balancer.outcomes() == [(1, Outcome.OK, True), (0, Outcome.CANCELLED, True)]
             scripted_balancer.react = send_all_to("s2")
-            client.send_request()  # the next response must be that of this request
+            # No second response to the first request may follow: the next response is that of this request.
+            client.send_request()
             (await fast.next()).reply(200, b"next")
             assert (await client.read_response()).body == b"next"
 
