--- a/cometdoor/balancing/simulator_adapter.py
+++ b/cometdoor/balancing/simulator_adapter.py
@@ -17,7 +17,7 @@
 from cometdoor.balancing.balancer import Balancer
 
 EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
-SCOPES = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
+DEDUP_SCOPES = {"all": api.DedupScope.ALL, "zone": api.DedupScope.ZONE, "cell": api.DedupScope.CELL}
 STATES = {
     "on": api.EndpointState.READY,
     "fading": api.EndpointState.DRAINING,
@@ -39,7 +39,7 @@
     "recalled": api.Outcome.CANCELLED,
     "superseded": api.Outcome.NOT_SENT,
 }
-LOADS = {
+LOAD_METRICS = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -68,7 +68,7 @@
         latency_target_ms=class_record["aim_ms"],
         deadline_ms=class_record["deadline_ms"],
         effect=EFFECTS[class_record["effect"]],
-        dedup_scope=SCOPES[get_or_default(class_record, "dedup_scope", "all")],
+        dedup_scope=DEDUP_SCOPES[get_or_default(class_record, "dedup_scope", "all")],
         key_ttl_ms=get_or_default(class_record, "key_ttl_ms", 0.0),
         value=get_or_default(class_record, "worth", 1.0),
         late_value=get_or_default(class_record, "late_worth", 0.0),
@@ -151,10 +151,10 @@
 
 def read_load(usage: Any) -> dict[str, float]:
     """Decode a load report, to the names that the platform uses."""
-    return {LOADS.get(name, name): float(value) for name, value in usage.items()} if usage else {}
+    return {LOAD_METRICS.get(name, name): float(value) for name, value in usage.items()} if usage else {}
 
 
-READERS: dict[str, Callable[[Values], api.Event]] = {
+EVENT_DECODERS: dict[str, Callable[[Values], api.Event]] = {
     "demand": read_arrival,
     "outcome": read_outcome,
     "tick_due": lambda values: api.TimerFired(values[1]),
@@ -162,7 +162,7 @@
     "first": lambda values: api.StreamStarted(values[1], values[2]),
 }
 
-WRITERS: dict[type[Any], Callable[[Any], Values]] = {
+ACTION_ENCODERS: dict[type[Any], Callable[[Any], Values]] = {
     api.Send: lambda a: ["route", a.request, a.server, a.timeout_ms],
     api.Cancel: lambda a: ["cancel", a.request, a.attempt],
     api.Reject: lambda a: ["bounce", a.request, a.retry_after_ms],
@@ -206,8 +206,8 @@
             TypeError,
             ValueError,
             AttributeError,
-        ) as problem:
-            raise MalformedInputError(f"{type(problem).__name__}: {problem}") from problem
+        ) as error:
+            raise MalformedInputError(f"{type(error).__name__}: {error}") from error
         return orjson.dumps({"proxys": replies})
 
     def _run_event(self, instance: int, values: Values, now: float, orders: list[Values]) -> None:
@@ -227,17 +227,17 @@
                 kind = LIST_KINDS[values[1]]
                 endpoints = () if kind is api.EndpointListKind.FAILED else self._lists[values[3]]
                 event: api.Event = api.EndpointsChanged(kind, endpoints)
-            elif name in READERS:
-                event = READERS[name](values)
+            elif name in EVENT_DECODERS:
+                event = EVENT_DECODERS[name](values)
             else:
                 return
             # An exception from here on is a fault of the decision module, not of the input.
             try:
                 actions = self._instances[instance].handle(event, now)
-            except Exception as problem:
-                orders.append(["give_in", f"{type(problem).__name__}: {problem}"])
+            except Exception as error:
+                orders.append(["give_in", f"{type(error).__name__}: {error}"])
                 return
-            orders.extend(WRITERS[type(action)](action) for action in actions)
+            orders.extend(ACTION_ENCODERS[type(action)](action) for action in actions)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
@@ -246,8 +246,8 @@
     for number, line in enumerate(source, 1):
         try:
             reply = host.run_batch(line)
-        except MalformedInputError as problem:
-            print(f"simulator_adapter: line {number} is malformed: {problem}", file=sys.stderr)
+        except MalformedInputError as error:
+            print(f"simulator_adapter: line {number} is malformed: {error}", file=sys.stderr)
             return 2
         sink.write(reply + b"\n")
         sink.flush()
