--- a/cometdoor/__init__.py
+++ b/cometdoor/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy round `cometdoor.balancing`: sockets, time and bookkeeping, no decisions."""
+"""The service mesh. `cometdoor.balancing` makes the load-balancing decisions, without clock or I/O."""
--- a/cometdoor/__main__.py
+++ b/cometdoor/__main__.py
@@ -1,8 +1,8 @@
 """Entry point: `python -m cometdoor` and the `cometdoor` command.
 
-Without arguments it is the platform's proxy (cometdoor/discovery/program.py). With a command it is the
+Without arguments it runs the platform's proxy (cometdoor/discovery/program.py). With a command it runs the
 mesh's command line (cometdoor/cli/mesh_commands.py) or that of the services' proxy
-(cometdoor/cli/proxy_commands.py). Nothing is imported that the command does not need: processor time of a
+(cometdoor/cli/proxy_commands.py). Only modules that the command needs are imported: the processor time of a
 start is charged, and memory is scarce.
 """
 
@@ -22,8 +22,8 @@
 
         return program.main()
     if arguments[0] in MESH_COMMANDS:
-        # A daemon writes to no terminal: without rich it takes 3 MB less (32.9 instead of 36.1). typer and
-        # structlog do without it where it can't be imported.
+        # Daemons don't write to a terminal: without rich they use 3 MB less memory (32.9 instead of 36.1).
+        # typer and structlog work without rich if it can't be imported.
         sys.modules["rich"] = None  # type: ignore[assignment]
         if len(arguments) == 1 and arguments[0] in DAEMON_ROLES:
             from cometdoor.cli import daemons
--- a/cometdoor/balancing/admission.py
+++ b/cometdoor/balancing/admission.py
@@ -1,4 +1,4 @@
-"""Admission control at the clients' entry: how many requests may be in flight, and which go first.
+"""Admission control at the first tier: how many requests may be in flight, and which are sent first.
 
 Part of the decision module, see cometdoor/balancing/api.py: no clock, no I/O.
 """
@@ -14,28 +14,28 @@
 from cometdoor.balancing.token_bucket import TokenBucket
 
 # "Usage" is the mean latency of recent requests as a share of their latency targets.
-VALUE_PRIORITY_SHARE = 0.3  # largest share of the limit that a request of no value may not use
+VALUE_PRIORITY_SHARE = 0.3  # at full reserve, share of the limit that is closed to requests of value 0
 RESERVE_FROM_USAGE = 0.25  # usage above which capacity is reserved for valuable requests
-RESERVE_USAGE_RANGE = 0.2  # the reserve grows from none to all of it over this range of usage
-SERVICE_DECAY_MS = 30_000.0  # of the shares of value that classes earned; with 10 s they swung
-VALUE_REFRESH_INTERVAL_MS = 100.0  # some five requests at a busy entry
-WORST_CLASS_RANGE = 0.03  # earned share: classes within about this of the worst-served one count with it
-LOW_VALUE_LIMIT_SHARE = 0.5  # of the limit, for requests above a quota or past their latency target
-QUOTA_BURST_MS = 5_000.0  # a tenant may save up its quota of this time
-LATENCY_TARGET_SHARE = 0.4  # desired mean latency over the mean target; with more, servers were overloaded
+RESERVE_USAGE_RANGE = 0.2  # the reserve grows from zero to its maximum over this range of usage
+SERVICE_DECAY_MS = 30_000.0  # time constant of the classes' earned shares, which oscillated with 10 s
+VALUE_REFRESH_INTERVAL_MS = 100.0  # about five requests arrive in it at a busy balancer
+WORST_CLASS_RANGE = 0.03  # classes whose earned share is about this close to the lowest count as worst-served
+LOW_VALUE_LIMIT_SHARE = 0.5  # share of the limit for requests above a quota or past their latency target
+QUOTA_BURST_MS = 5_000.0  # a tenant can accumulate its unused quota of this time
+LATENCY_TARGET_SHARE = 0.4  # desired mean latency / mean target; a higher ratio overloaded the servers
 BURST_DEVIATIONS = 3.0  # bursts of random arrivals up to this many standard deviations are admitted
-OVERLOAD_USAGE = 0.7  # usage from which on no burst is admitted
-BURST_USAGE_RANGE = 0.35  # the admitted burst grows from none to all of it over this range of usage below
-OVERLOAD_LATENCY_SHARE = 0.25  # likewise in an overload, over the lowest target: crowded servers slow down
-CLIENT_TIMEOUT_MEMORY_MS = 2_000.0  # an entry sees several first attempts of each class per second
+OVERLOAD_USAGE = 0.7  # usage from which no burst is admitted
+BURST_USAGE_RANGE = 0.35  # below that, the admitted burst grows from zero to its maximum over this range
+OVERLOAD_LATENCY_SHARE = 0.25  # the same in an overload, by the lowest target: overloaded servers slow down
+CLIENT_TIMEOUT_MEMORY_MS = 2_000.0  # a first-tier balancer gets several first attempts per class and second
 CLIENT_TIMEOUT_TOLERANCE_MS = 50.0  # `remaining_ms` of equal client timeouts differs by the network's delay
 
 
 class ClientTimeoutEstimate:
-    """The longest timeout of a class's clients lately; a request with less time left is likely a retry.
+    """The longest recent timeout of a class's clients; a request with less time left is probably a retry.
 
-    It expires when no client has used it for a while: else all requests would be taken for retries, at less
-    than their value, once clients shorten their timeout.
+    It expires when no client has used it for a while. Otherwise, after clients shorten their timeout, all
+    their requests would be treated as retries and get a lower value.
     """
 
     __slots__ = ("_longest_ms", "_seen_at")
@@ -44,7 +44,7 @@
         self._longest_ms, self._seen_at = 0.0, -math.inf
 
     def is_shortened(self, remaining_ms: float, now: float) -> bool:
-        """Return whether a client with this much time left has spent some on an earlier attempt."""
+        """Return whether a client with this much time left has already made an earlier attempt."""
         if now - self._seen_at >= CLIENT_TIMEOUT_MEMORY_MS:
             self._longest_ms = 0.0
         if remaining_ms < self._longest_ms - CLIENT_TIMEOUT_TOLERANCE_MS:
@@ -71,8 +71,8 @@
 class ClassValues:
     """What serving one more request of each class adds to the operators' goal.
 
-    The goal may include the service of the worst-served class: by value alone, an overload is borne by the
-    class of the lowest value until none of its requests is served.
+    The goal may include the service of the worst-served class: by value alone, an overload affects only the
+    class of the lowest value, until none of its requests is served.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -108,7 +108,7 @@
         total_value = sum(cls.value * count for cls, count in class_counts)
         latency_targets_ms = sum(cls.latency_target_ms * count for cls, count in class_counts)
         self.mean_latency_target_ms = latency_targets_ms / sum(request_counts)
-        # Gradual: at a sharp edge the classes that are served about as badly would change places.
+        # Gradual: with a sharp threshold, classes with similar shares would alternate as worst-served.
         nearness = [math.exp((min(earned_shares) - share) / WORST_CLASS_RANGE) for share in earned_shares]
         worst_class_factor = settings.worst_class_weight / sum(nearness)
         return [
@@ -130,7 +130,7 @@
         self.min_latency_target_ms = min(targets_ms)
         self.min_limit = 1.0
         self.in_flight = 0
-        # Requests by id, the newest last; by class index and the share of its value that they can earn.
+        # By class index and `value_share`: the queued requests by id, the newest last.
         self.queues: dict[tuple[int, float], dict[str, Request]] = {}
         self.responses = DecayingAverage(max(targets_ms))
         self.target_usage = DecayingAverage(2.0 * max(targets_ms))  # latency / latency target of requests
@@ -149,7 +149,7 @@
         decay_ms = self.responses.decay_ms
         observed_share = 1.0 - math.exp(min(self.started_at - now, -1.0) / decay_ms)
         completion_rate = self.responses.count / decay_ms / observed_share
-        # With many balancers each sees few requests, so arrivals vary: short bursts are admitted.
+        # With many balancers each gets few requests, so arrivals vary: short bursts are admitted.
         target_usage = self.target_usage.mean(0.0, 1.0, now)
         burst_share = min(max((OVERLOAD_USAGE - target_usage) / BURST_USAGE_RANGE, 0.0), 1.0)
         normal_latency_ms = LATENCY_TARGET_SHARE * self.class_values.mean_latency_target_ms
@@ -161,7 +161,7 @@
     def has_capacity(self, request: Request, now: float) -> bool:
         """Return whether the request may be sent now. Capacity is reserved by value only as latencies grow.
 
-        If it always were, requests of little value would be rejected below the limit, and retried repeatedly.
+        If it always were, low-value requests would be rejected below the limit and retried repeatedly.
         """
         target_usage = self.target_usage.mean(0.0, 1.0, now)
         reserved_share = min(max((target_usage - RESERVE_FROM_USAGE) / RESERVE_USAGE_RANGE, 0.0), 1.0)
@@ -186,7 +186,7 @@
             del self.queues[request.class_index, request.value_share]
 
     def next_request(self, now: float) -> Request | None:
-        """Remove and return the newest (most time left) of the most valuable, if it may be sent now."""
+        """Dequeue the newest (most time left) of the most valuable requests, if it may be sent now."""
         if not self.queues:
             return None
         values = self.class_values.marginal_values(now)
--- a/cometdoor/balancing/api.py
+++ b/cometdoor/balancing/api.py
@@ -1,6 +1,6 @@
 """The interface of the decision module: settings, events in, actions out.
 
-A host hands each event, with the time, to `Balancer.handle` and executes the actions that come back, in
+A host passes each event, with the time, to `Balancer.handle` and executes the actions that come back, in
 order. All times are milliseconds on one monotonic clock.
 """
 
@@ -12,15 +12,15 @@
 
 
 class Effect(Enum):
-    """Whether a request may be executed more than once."""
+    """The effect of executing a request more than once."""
 
     SAFE = "safe"  # idempotent
-    KEYED = "keyed"  # carries an idempotency key: the servers of one scope deduplicate it for a while
+    KEYED = "keyed"  # carries an idempotency key: servers of one scope deduplicate it for `key_ttl_ms`
     UNSAFE = "unsafe"  # must not be executed twice
 
 
 class DedupScope(Enum):
-    """The servers among which an idempotency key is known: all, those of one zone, or those of one cell."""
+    """The servers that share idempotency keys: all, those of one zone, or those of one cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,11 +32,11 @@
     """A class of requests: their latency target, deadline, value, and whether they may be retried."""
 
     latency_target_ms: float  # a response within this time earns the full value
-    deadline_ms: float  # how long a client waits in all, over its own retries too
+    deadline_ms: float  # how long a client waits in total, its own retries included
     effect: Effect = Effect.SAFE
     dedup_scope: DedupScope = DedupScope.ALL
     key_ttl_ms: float = 0.0  # how long the servers remember an idempotency key
-    value: float = 1.0  # of one response in time, relative to the other classes
+    value: float = 1.0  # of one timely response, relative to the other classes
     late_value: float = 0.0  # share of the value that a response between target and deadline earns
     stream: bool = False  # responses are streamed
     max_executions: int = 0  # attempts that may have been executed; 0: as many as attempts are allowed
@@ -50,7 +50,7 @@
 class Tenant:
     """A group of clients with a rate limit of its own."""
 
-    allowance_per_s: float  # requests a second, over all balancers
+    allowance_per_s: float  # requests per second, over all balancers
 
     def __post_init__(self) -> None:
         _require_not_negative(self, "allowance_per_s")
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
-    """Attempts past each request's first that one balancer may make in any window."""
+    """The number of attempts, beyond each request's first, that one balancer may make in any window."""
 
     floor: float = 0.0  # attempts that are allowed without any request
     per_request: float = 0.0  # additional attempts for each request that arrived in the window
     window_ms: float = 10_000.0
-    counts_not_executed: bool = True  # whether attempts count that follow only attempts not executed
+    counts_not_executed: bool = True  # whether to count attempts that follow only attempts not executed
 
     def __post_init__(self) -> None:
         _require_not_negative(self, "floor", "per_request")
@@ -72,41 +72,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Settings by the operator. The defaults are for a single balancer with few limits."""
+    """The operator's settings. The defaults are for a single balancer with few limits."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1  # balancers in this tier
     position: int = 0  # index of this balancer among them, from 0
-    tier: int = 0  # the tier that this balancer sends to; 0: it is the clients' entry
+    tier: int = 0  # the tier that this balancer sends to; 0: the first one, which clients send to
     tiers: int = 1
     zone: int = 0
     may_cancel: bool = True
     may_duplicate: bool = True
     max_attempts: int = 4  # of one request, the first one included
     retry_budget: RetryBudget | None = None  # None: `balancer.DEFAULT_RETRY_BUDGET`
-    must_watch: bool = False  # the endpoint list is sent only to those that watch it
+    must_watch: bool = False  # discovery sends the endpoint list only to balancers that watch it
     max_refresh_ms: float = 10_000.0  # a watch that failed must be renewed within this time
     slow_start_initial_share: float = 1.0  # an endpoint starts with at least this share of its capacity
     warm_up_ms: float = 0.0  # duration of slow start: after it the endpoint has its full capacity
-    overload_factor: float = 3.0  # an endpoint in slow start collapses if it is sent this multiple of its
-    overload_tolerance_ms: float = 3000.0  # capacity for this long
-    cross_zone_price: float = 0.0  # of a request sent to another zone; 0: zones are ignored
+    overload_factor: float = 3.0  # an endpoint in slow start collapses at this multiple of its capacity
+    overload_tolerance_ms: float = 3000.0  # if the overload lasts this long
+    cross_zone_price: float = 0.0  # price of sending a request to another zone; 0: zones are ignored
     over_share_value: float = 1.0  # share of its value that a request above its tenant's quota has
-    total_value_weight: float = 1.0  # weight of the value answered in time in the operators' goal
-    worst_class_weight: float = 0.0  # weight in it of the share of its value that the worst class earns
+    total_value_weight: float = 1.0  # in the operators' goal, weight of the value that is answered in time
+    worst_class_weight: float = 0.0  # in that goal, weight of the worst class's earned share of its value
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: at least one class is required")
         if self.max_attempts < 1:
-            raise ValueError(f"max_attempts: {self.max_attempts} is not at least 1")
+            raise ValueError(f"max_attempts: {self.max_attempts} (must be at least 1)")
         if not 0 <= self.position < self.balancers:
-            raise ValueError(f"position: {self.position} is not below balancers ({self.balancers})")
+            raise ValueError(
+                f"position: {self.position} (must be at least 0, below balancers = {self.balancers})"
+            )
         if not 0 <= self.tier < self.tiers:
-            raise ValueError(f"tier: {self.tier} is not below tiers ({self.tiers})")
+            raise ValueError(f"tier: {self.tier} (must be at least 0, below tiers = {self.tiers})")
         if not 0 < self.slow_start_initial_share <= 1:
-            raise ValueError(f"slow_start_initial_share: {self.slow_start_initial_share} is not in (0, 1]")
+            raise ValueError(f"slow_start_initial_share: {self.slow_start_initial_share} (must be in (0, 1])")
         _require_positive(self, "max_refresh_ms", "overload_factor", "overload_tolerance_ms")
         _require_not_negative(
             self,
@@ -121,23 +123,23 @@
 def _require_positive(owner: object, *names: str) -> None:
     for name in names:
         if not getattr(owner, name) > 0:
-            raise ValueError(f"{name}: {getattr(owner, name)} is not above 0")
+            raise ValueError(f"{name}: {getattr(owner, name)} (must be above 0)")
 
 
 def _require_not_negative(owner: object, *names: str) -> None:
     for name in names:
         if not getattr(owner, name) >= 0:
-            raise ValueError(f"{name}: {getattr(owner, name)} is below 0")
+            raise ValueError(f"{name}: {getattr(owner, name)} (must be at least 0)")
 
 
 # --- events ---
 
 
 class EndpointState(Enum):
-    """Whether an endpoint may be sent requests."""
+    """The state of an endpoint, by which it may or may not be sent requests."""
 
     READY = "ready"
-    DRAINING = "draining"  # no new requests; those in flight may end
+    DRAINING = "draining"  # no new requests; those in flight may complete
     REMOVED = "gone"
 
 
@@ -151,15 +153,15 @@
     cell: int = 0
     kind: int = 0  # endpoints of one kind have similar latencies
     state: EndpointState = EndpointState.READY
-    started_at: float = 0.0  # ms, when its process started; 0: long ago
+    started_at: float = 0.0  # start time of its process in ms; 0: long ago
 
 
 class EndpointListKind(Enum):
-    """How an endpoint list relates to the previous one, or that there is none."""
+    """How an endpoint list relates to the previous one, or that no list was received."""
 
     DELTA = "delta"  # changed entries only
-    FULL = "full"  # an endpoint that is left out was removed
-    CACHED = "cached"  # as this balancer last knew it, perhaps long ago
+    FULL = "full"  # endpoints that are missing from it were removed
+    CACHED = "cached"  # the last list that this balancer received, perhaps long ago
     FAILED = "failed"  # the request or the watch failed: no list
 
 
@@ -178,9 +180,9 @@
     request: str  # a unique id
     class_index: int
     remaining_ms: float  # until the client abandons this request (it may then send a retry)
-    tenant: int = 0  # index in the settings; without a tenant of that index there is no quota
-    cost_ms: float | None = None  # service time that the client expects; None: it did not say
-    is_retry: bool = False  # whether the client marked it as a retry of its own
+    tenant: int = 0  # index in `Settings.tenants`; without a tenant of that index there is no quota
+    cost_ms: float | None = None  # service time that the client expects; None: not given
+    is_retry: bool = False  # whether the client marked this as its own retry
 
 
 @dataclass(frozen=True, slots=True)
@@ -219,13 +221,13 @@
     latency_ms: float = 0.0
     # The endpoint's last load report: util (share of its cores), qps, latency_ms, inflight ...
     load: Mapping[str, float] = field(default_factory=dict)
-    # How strongly this speaks against the endpoint, in [0, 1]; None: as its outcome does on the mean.
+    # How strongly this is evidence against the endpoint, in [0, 1]; None: the average for its outcome.
     blame: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first part of a streamed response went to the client."""
+    """The first part of a streamed response was sent to the client."""
 
     request: str
     attempt: int
@@ -233,19 +235,19 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The timer that a `SetTimer` action asked for has expired."""
+    """The timer that a `SetTimer` action requested has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class AdviceReceived:
-    """Planners advise to shift weight among ready endpoints. Replaces all earlier advice.
+    """Planners advise shifting weight among ready endpoints. Replaces all earlier advice.
 
-    Advice changes weights only: no endpoint becomes ready, and all rules on retries, drains and budgets hold.
+    Advice changes weights only: no endpoint becomes ready, and rules on retries, drains and budgets apply.
 
-    `weight_shares`: the share of its weight, in (0, 1], that each named endpoint keeps; all others keep all.
-    `subset_scale`: multiple, 1 or more, of the endpoints that the balancer would rotate over by itself.
+    `weight_shares`: the share of its weight, in (0, 1], that each named endpoint keeps; the others keep all.
+    `subset_scale`: multiple, 1 or more, of the subset size that the balancer would choose by itself.
     """
 
     weight_shares: Mapping[str, float] = field(default_factory=dict)
@@ -257,7 +259,7 @@
     """Planners grant sends to an endpoint in slow start, on top of the balancer's own share."""
 
     server: str  # the endpoint's name
-    started_at: float  # valid only while the endpoint's `started_at` is this one
+    started_at: float  # valid only while the endpoint's `started_at` has this value
     sends: int  # attempts that are granted
     duration_ms: float  # from now on
 
@@ -327,7 +329,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for `TimerFired` with this token after some time."""
+    """Request a `TimerFired` event with this token after `after_ms`."""
 
     token: int
     after_ms: float
@@ -335,14 +337,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseIdleConnections:
-    """Close the idle connections to an endpoint; those in use stay."""
+    """Close the idle connections to an endpoint; those in use stay open."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for the endpoint list and its changes."""
+    """Request the endpoint list and its changes from discovery."""
 
 
 Action = Send | Cancel | Reject | Fail | SetTimer | CloseIdleConnections | WatchEndpoints
--- a/cometdoor/balancing/attempts.py
+++ b/cometdoor/balancing/attempts.py
@@ -18,14 +18,14 @@
 MAX_HEDGE_RATIO = 0.05  # hedges over completed attempts
 HEDGE_WINDOW_MS = 10_000.0
 OVERDUE_LATENCY_FACTOR = 4.0  # multiple of the expected latency: two in a hundred responses are later
-HEDGE_DELAY_SHARE = 0.625  # of the time left for a timely response; most responses are in by then
-WINDOW_EDGE_MS = 0.002  # hosts may round to microseconds: this near a window's edge the stricter count holds
-IDLE_LOSS_MEMORY_MS = 30_000.0  # after this long without a loss, long idle connections are trusted again
-SAFE_IDLE_SHARE = 0.5  # of the shortest idle time after which a connection was lost
+HEDGE_DELAY_SHARE = 0.625  # of the time left for a timely response; most responses arrive earlier
+WINDOW_EDGE_MS = 0.002  # hosts may round to microseconds: this close to an edge the stricter count applies
+IDLE_LOSS_MEMORY_MS = 30_000.0  # after this time without a loss, long-idle connections are reused again
+SAFE_IDLE_SHARE = 0.5  # share of the shortest idle time of a lost connection that is still safe
 
 
 def abandon_at(cls: api.RequestClass, remaining_ms: float, now: float) -> float:
-    """Return when to abandon a request: at its deadline; if late responses earn nothing, at its target."""
+    """Return when to abandon a request: at its deadline, or at its target if late responses earn nothing."""
     return now + (remaining_ms if cls.late_value else min(remaining_ms, cls.latency_target_ms))
 
 
@@ -44,13 +44,13 @@
 class RetryLimiter:
     """Limits retries and hedges in a sliding window to a floor plus a share of the requests (rule 5).
 
-    Exact at every send; a token bucket would allow more than its rate in some windows. Its cost: when many
-    first attempts fail by chance at once, retries are denied that would have succeeded.
+    The limit is exact at every send; a token bucket would allow more than its rate in some windows. The cost:
+    when many first attempts fail by chance at once, retries are denied that would have succeeded.
     """
 
     def __init__(self, budget: api.RetryBudget) -> None:
         self._budget, self.floor = budget, budget.floor
-        self._request_times: deque[float] = deque()  # oldest first; also of requests that were rejected
+        self._request_times: deque[float] = deque()  # oldest first; rejected requests are included
         self._retry_times: deque[float] = deque()
 
     def on_request(self, now: float) -> None:
@@ -115,7 +115,7 @@
         if not attempts:
             hedges, attempts = self._lifetime
         ratio = hedges / attempts if attempts else float(hedges > 0)
-        # Fewer hedges if they rarely win: requests that are slow because they are heavy gain nothing by one.
+        # Fewer hedges if they rarely win: they don't help requests that are slow because they are expensive.
         return ratio < MAX_HEDGE_RATIO * self.win_rate.mean(1.0, PRIOR_SAMPLES, now)
 
     def _expire(self, now: float) -> None:
@@ -124,15 +124,15 @@
 
 
 class IdleConnectionGuard:
-    """Guards against connections that a middlebox has silently dropped while they were idle.
+    """Detects connections that a middlebox has silently dropped while they were idle.
 
-    A request sent on one is lost, and an unsafe request can't be retried: such connections are closed before.
-    A loss after less than a quarter of the time for which the connection had been idle is taken as the sign;
-    a server that crashes rarely looks the same, and a false alarm costs only some handshakes.
+    A request sent on one is lost, and an unsafe one can't be retried: they are closed before they are used.
+    The sign is a loss after less than a quarter of the time for which the connection had been idle. A server
+    that crashes rarely causes the same pattern, and a false alarm costs only a few handshakes.
     """
 
     def __init__(self) -> None:
-        self._min_loss_idle_ms = math.inf  # shortest idle time of a connection that was lost lately
+        self._min_loss_idle_ms = math.inf  # shortest idle time of a recently lost connection
         self._suspicious_until = -math.inf
 
     def is_idle_loss(self, attempt: Attempt, outcome: Outcome, now: float) -> bool:
--- a/cometdoor/balancing/balancer.py
+++ b/cometdoor/balancing/balancer.py
@@ -28,13 +28,13 @@
 from cometdoor.balancing.requests import Attempt, Request
 from cometdoor.balancing.slow_start import SlowStart
 
-OVERDUE_CHECK_SHARE = 0.2  # of its latency target, between checks whether a response is overdue
-TRIAL_HEDGE_DELAY_FACTOR = 0.5  # of the usual delay: a trial request rarely gets a response
-# For settings without a budget. Small, since retries multiply through tiers; chance failures need some.
+OVERDUE_CHECK_SHARE = 0.2  # interval of checks for an overdue response, as a share of the latency target
+TRIAL_HEDGE_DELAY_FACTOR = 0.5  # multiple of the usual delay, for trials: they rarely get a response
+# Used if none is configured. Small, since retries multiply through tiers; random failures need some.
 DEFAULT_RETRY_BUDGET = api.RetryBudget(floor=3.0, per_request=0.2, window_ms=10_000.0)
-MAX_WATCH_DELAY_SHARE = 0.12  # of `max_refresh_ms`, before a failed watch is renewed
-MIN_IN_FLIGHT_PER_ENDPOINT = 3.0  # requests of all balancers together, admitted before any response is in
-MAX_QUEUE_WAIT_SHARE = 0.25  # of a request's latency target, in the admission queue
+MAX_WATCH_DELAY_SHARE = 0.12  # longest delay before a failed watch is renewed, as a share of `max_refresh_ms`
+MIN_IN_FLIGHT_PER_ENDPOINT = 3.0  # requests of all balancers together, admitted before the first response
+MAX_QUEUE_WAIT_SHARE = 0.25  # longest wait in the admission queue, as a share of the latency target
 
 
 class Balancer:
@@ -56,7 +56,7 @@
         self._quotas = [TenantQuota(tenant, settings.balancers) for tenant in settings.tenants]
         self._admission = Admission(settings)
         self._client_timeouts = [ClientTimeoutEstimate() for _ in settings.classes]
-        self._timers: dict[int, str | None] = {}  # by token: a request's id, or None to renew the watch
+        self._timers: dict[int, str | None] = {}  # by token: request id, or None to renew the watch
         self._last_token = 0
         self._watch_scheduled = False
         self._actions: list[api.Action] = []
@@ -105,7 +105,7 @@
         settings = self._settings
         is_outdated = event.kind in (EndpointListKind.FAILED, EndpointListKind.CACHED)
         if settings.must_watch and not self._watch_scheduled and is_outdated:
-            # A random delay spares a slow discovery. No backoff: the watch is due within `max_refresh_ms`.
+            # A random delay, to spare a slow discovery. No backoff: the watch is due within `max_refresh_ms`.
             self._set_timer(None, self._rng.uniform(0.0, MAX_WATCH_DELAY_SHARE * settings.max_refresh_ms))
             self._watch_scheduled = True
         if event.kind is EndpointListKind.FAILED:
@@ -114,18 +114,18 @@
         min_limit = MIN_IN_FLIGHT_PER_ENDPOINT * self._selection.ready_count / settings.balancers
         self._admission.min_limit = max(1.0, min_limit)
 
-    # --- request life ---
+    # --- request lifecycle ---
 
     def _on_request_arrived(self, event: api.RequestArrived, now: float) -> None:
         if not 0 <= event.class_index < len(self._settings.classes):
-            raise ValueError(f"class_index: {event.class_index} is no class")
+            raise ValueError(f"class_index: {event.class_index} (must be the index of a request class)")
         cls, tenant = self._settings.classes[event.class_index], event.tenant
         value_share = 1.0
         # A client's own retry has less time left than its first attempt, and no longer earns the full value.
         is_shortened = self._client_timeouts[event.class_index].is_shortened(event.remaining_ms, now)
         if is_shortened and cls.deadline_ms - event.remaining_ms > cls.latency_target_ms:
             value_share = cls.late_value
-        # A lower value above the quota: else one tenant's surge would crowd out those within their quota.
+        # Less value above the quota: otherwise one tenant's surge would displace tenants within theirs.
         elif tenant < len(self._quotas) and not self._quotas[tenant].try_acquire(now):
             value_share = self._settings.over_share_value
         abandon_time = abandon_at(cls, event.remaining_ms, now)
@@ -154,7 +154,7 @@
 
         An attempt that follows only attempts which were not executed counts if the configured budget says so.
         By default it doesn't: endpoints that reject requests or accept no connection would use up the budget
-        that others need. The cost of the default: endpoints for which rejecting is expensive get more of it.
+        that others need. The cost: endpoints for which a rejection is expensive get more requests to reject.
         """
         budget = self._settings.retry_budget
         if budget and budget.counts_not_executed:
@@ -208,9 +208,9 @@
         return endpoint is not None
 
     def _abandon(self, request: Request, now: float) -> None:
-        """Respond at once: by a rejection, which invites a retry, if that is safe (rule 2); else a failure.
+        """Respond at once: with a rejection, which invites a retry, if that is safe (rule 2); else a failure.
 
-        The client is advised to retry after the longest time in the queue: sooner the overload is the same.
+        The client is advised to retry after the longest queue wait: earlier the overload would be the same.
         """
         cls = request.cls
         is_retry_safe = request.first_execution() is None or cls.effect is Effect.SAFE
@@ -266,8 +266,8 @@
         if not request.is_late:
             request.is_late = True
             self._hedge(request, now)
-        # Stop counting it as in flight: 17 lost responses once filled the limit, and 311 requests were
-        # rejected beside idle endpoints.
+        # Stop counting it as in flight: otherwise lost responses fill the limit. 17 of them led to 311
+        # rejected requests while endpoints were idle.
         elif overdue_at(request) <= now and self._admission.target_usage.mean(0.0, 1.0, now) < OVERLOAD_USAGE:
             request.is_stalled = True
             self._admission.in_flight -= 1
@@ -278,7 +278,7 @@
     def _hedge(self, request: Request, now: float) -> None:
         for attempt in request.attempts:
             if not attempt.has_ended:
-                # Counted as a failure: until the timeouts nothing else shows that an endpoint hangs.
+                # Counted as a failure: before the timeout, nothing else shows that an endpoint hangs.
                 attempt.endpoint.failures.add(1.0, now)
                 self._latency.failures.add(1.0, now)
         # Only once, even if the gate opens later: late hedges overloaded the endpoints that still responded.
--- a/cometdoor/balancing/decaying_average.py
+++ b/cometdoor/balancing/decaying_average.py
@@ -1,4 +1,4 @@
-"""Exponentially decaying means. No decisions are made here; the time is handed in."""
+"""Exponentially decaying averages. No decisions are made here; the caller passes the time."""
 
 from __future__ import annotations
 
--- a/cometdoor/balancing/endpoint_selection.py
+++ b/cometdoor/balancing/endpoint_selection.py
@@ -22,21 +22,21 @@
 LATENCY_EXPONENT = 1.0  # an endpoint that is twice as slow gets half of the turns
 SUCCESS_RATE_EXPONENT = 4.0  # an endpoint that fails half of its requests keeps a sixteenth of its turns
 MIN_SUCCESS_FACTOR = 0.02  # an endpoint that fails all its requests keeps this share of its turns
-LOCAL_LATENCY_EXPONENT = 3.0  # of the ratio of remote to local latency, if it is below 1
+LOCAL_LATENCY_EXPONENT = 3.0  # applies to the ratio of remote to local latency, if it is below 1
 LOCAL_PREFERENCE = 6.0  # weight of a local endpoint over a remote one, without load reports
 MAX_LOCAL_PREFERENCE = 100.0  # weight of a local endpoint over a remote one, at a low reported utilization
-# There is no preference from the utilization 1 - `ZONE_HEADROOM` / sqrt(endpoints) on: the fewer endpoints,
-# the sooner queues form (square-root staffing). At 0.9 of eight endpoints queues were full.
+# Preference ends at the utilization 1 - `ZONE_HEADROOM` / sqrt(endpoints): the fewer endpoints, the earlier
+# queues form (square-root staffing). The queues of eight endpoints were full at a utilization of 0.9.
 ZONE_HEADROOM = 0.5
-UTILIZATION_RANGE = 0.3  # the preference grows from none to its maximum over this range of utilization below
-MIN_SUBSET_SIZE = 5  # endpoints: enough to judge one by its peers
+UTILIZATION_RANGE = 0.3  # below that, the preference grows from none to its maximum over this range
+MIN_SUBSET_SIZE = 5  # endpoints: enough to compare each with its peers
 MIN_BALANCERS_PER_ENDPOINT = 3  # so that differences between balancers even out at each endpoint
-MIN_WEIGHT_SHARE = 0.02  # share of its turns that an endpoint keeps whatever planners advise
+MIN_WEIGHT_SHARE = 0.02  # share of its turns that an endpoint keeps regardless of planners' advice
 GOLDEN_RATIO_FRACTION = 0.6180339887  # multiples of it, modulo 1, are spread evenly
 
 
 class EndpointSelection:
-    """Owner of the endpoint records, of the subset that this balancer rotates over, and of the rotation."""
+    """Maintains the endpoint records, the subset that this balancer rotates over, and the rotation."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self._slow_start = slow_start
         self._outliers = outlier_detector
         self._last_sequence = 0
-        self._subset_scale = 1.0  # multiple of its length that advice gives the subset
+        self._subset_scale = 1.0  # factor by which advice extends the subset
 
     # --- endpoint list ---
 
@@ -82,7 +82,7 @@
         known = endpoint.entry if endpoint else entry
         is_new = (entry.started_at, entry.zone) != (known.started_at, known.zone)
         if entry.state is EndpointState.REMOVED or is_new:
-            self._remove(entry.name)  # observations of the former process say nothing about the new one
+            self._remove(entry.name)  # observations of the former process don't apply to the new one
             endpoint = None
         if endpoint:
             endpoint.entry, endpoint.is_ready = entry, entry.state is EndpointState.READY
@@ -106,7 +106,7 @@
             if not endpoint.is_ready:
                 endpoint.subset_weight = 0.0  # so that it is scheduled when it returns
         if len(self.rotation) > 2 * len(self.endpoints):
-            # Remove stale entries: those of slow or failing endpoints lie far ahead, and would accumulate.
+            # Remove stale entries: those of slow or failing endpoints are far ahead, and would accumulate.
             self.rotation = [
                 entry for entry in self.rotation if entry[0] == entry[2].next_turn and entry[2].subset_weight
             ]
@@ -139,7 +139,7 @@
             endpoint.subset_weight = max(0.0, min(end, start + subset_length) - max(at, start)) + wrapped
             at = end
             if endpoint.subset_weight and not before:
-                # A random phase: else all balancers would send to a new endpoint at the same moment.
+                # A random phase: otherwise all balancers would send to a new endpoint at the same time.
                 distance = self._rng.random() / self.effective_weight(endpoint, now)
                 self._schedule(endpoint, self.virtual_time + distance)
         steady = [endpoint for endpoint in ring if self._slow_start.capacity_share(endpoint, now) >= 1.0]
@@ -162,7 +162,7 @@
             endpoint.weight_share = 1.0 if math.isnan(share) else min(max(share, MIN_WEIGHT_SHARE), 1.0)
             if endpoint.weight_share != before and endpoint.is_ready and endpoint.subset_weight:
                 # The next turn was scheduled by the former weight. For a lower one the phase is random: else
-                # every balancer still has one early turn, which was most of what a frozen endpoint got.
+                # every balancer keeps one early turn; these were most of a frozen endpoint's requests.
                 distance = 1.0 / self.effective_weight(endpoint, now)
                 if endpoint.weight_share < before:
                     turn = max(endpoint.next_turn, self.virtual_time + self._rng.random() * distance)
@@ -177,7 +177,7 @@
         heappush(self.rotation, (turn, endpoint.sequence, endpoint))
 
     def effective_weight(self, endpoint: EndpointRecord, now: float) -> float:
-        """Return its weight in the rotation: that in the subset, less for advice, slow start and failures."""
+        """Return the rotation weight: the subset weight, adjusted by advice, slow start and outcomes."""
         capacity = self._slow_start.capacity_share(endpoint, now)
         weight = endpoint.subset_weight * endpoint.weight_share * capacity
         if endpoint.locality is self.local and self._settings.cross_zone_price:
@@ -191,7 +191,7 @@
 
         Crossing zones costs less than late responses: the preference falls as local endpoints report a high
         utilization, or respond more slowly than remote ones. Without reports an overload shows later, in the
-        latencies, so the preference is lower. Its cost: a slow network between zones hides a local overload.
+        latencies, so the preference is lower. The cost: a slow network between zones hides a local overload.
         """
         local, remote = self.local, self.remote
         preference = LOCAL_PREFERENCE
@@ -208,9 +208,9 @@
     def _is_over_mean_load(self, endpoint: EndpointRecord) -> bool:
         """Return whether it has more of this balancer's attempts in flight than the mean over all zones.
 
-        With less than one attempt per endpoint any in flight is too many: endpoints that are frozen, slow or
-        busy are skipped before a response or timeout shows it. Its cost: the best endpoint gets too little
-        where endpoints differ much. With the mean of the local zone alone, one got a whole burst.
+        With less than one attempt per endpoint any in flight is too many: frozen, slow or busy endpoints
+        are skipped before a response or timeout shows it. The cost: the best endpoint gets too little where
+        endpoints differ much. With the mean of the local zone alone, one endpoint got a whole burst.
         """
         local, remote = self.local, self.remote
         endpoints = local.rotation_size + remote.rotation_size
@@ -219,8 +219,8 @@
     def pick(self, request: Request, now: float, caution: int, repeat: bool = False) -> EndpointRecord | None:
         """Return the next ready endpoint in turn that the request has not tried yet; None: there is none.
 
-        `caution`: 2: no degraded endpoint; 1: no ejected one, except for a trial; 0: any. Keeps requests,
-        above all those that can't be retried, from endpoints where others have just failed.
+        `caution`: 2: no degraded endpoint; 1: no ejected one, except for a trial; 0: any. This keeps
+        requests, above all those that can't be retried, away from endpoints where others have just failed.
         `repeat`: also endpoints that it has tried, for a keyed request whose group has no other.
         """
         tried = [attempt.endpoint for attempt in request.attempts if not repeat or attempt.not_executed]
@@ -246,7 +246,7 @@
                 skipped.append(entry)
                 continue
             if caution and self._outliers.excludes(endpoint.health, now, may_be_trial):
-                endpoint.next_turn = turn + 1.0 / self.effective_weight(endpoint, now)  # lost, not saved up
+                endpoint.next_turn = turn + 1.0 / self.effective_weight(endpoint, now)  # this turn is lost
                 skipped.append((endpoint.next_turn, endpoint.sequence, endpoint))
                 continue
             was_postponed = endpoint.name in postponed
@@ -254,7 +254,7 @@
             if is_crowded or not self._slow_start.admits(endpoint, now):
                 if was_postponed:
                     skipped.append(entry)
-                else:  # it loses this turn; its next one counts if all others are crowded too
+                else:  # it loses this turn; its next one is used if all others are crowded too
                     postponed.add(endpoint.name)
                     self._schedule(endpoint, turn + 1.0 / self.effective_weight(endpoint, now))
                 continue
--- a/cometdoor/balancing/endpoints.py
+++ b/cometdoor/balancing/endpoints.py
@@ -1,6 +1,6 @@
-"""Records of endpoints as one balancer sees them. No decisions are made here.
+"""One balancer's records of endpoints. No decisions are made here.
 
-Plain classes, not dataclasses: these would take 2 ms more to import.
+Plain classes instead of dataclasses, which would take 2 ms more to import.
 """
 
 from __future__ import annotations
@@ -31,18 +31,18 @@
     )
 
     def __init__(self) -> None:
-        self.utilization = DecayingAverage(LOAD_REPORT_DECAY_MS)  # as its endpoints report it
+        self.utilization = DecayingAverage(LOAD_REPORT_DECAY_MS)  # as reported by its endpoints
         self.covered_share = 1.0  # share of its weight that is in the rotation
-        self.rotation_size = 0  # endpoints
+        self.rotation_size = 0  # number of endpoints in the rotation
         self.outstanding = 0  # attempts in flight
         self.slowdown = DecayingAverage()  # latencies over the mean of their class
         self.steady_weight = 1.0  # sum of weights of the endpoints in the rotation that are past slow start
-        self.steady_sends = DecayingAverage()  # sends to those, each counted as 1 / `steady_weight`
-        self.steady_rate = 0.0  # sends to those per millisecond and unit of weight; 0: never measured
+        self.steady_sends = DecayingAverage()  # sends to these endpoints, each counted as 1 / `steady_weight`
+        self.steady_rate = 0.0  # the same sends, per millisecond and unit of weight; 0: never measured
 
 
 class EndpointRecord:
-    """What this balancer knows of one endpoint: its list entry, its turn in the rotation, its statistics."""
+    """A balancer's state of one endpoint: its list entry, its turn in the rotation, its statistics."""
 
     __slots__ = (
         "entry",
@@ -74,20 +74,20 @@
         self.entry = entry
         self.sequence = sequence  # unique: breaks ties between equal turns in the rotation's heap
         self.locality = locality
-        self.ring_position = ring_position  # orders the endpoints, for the choice of the subset
+        self.ring_position = ring_position  # orders the endpoints when the subset is chosen
         self.name = entry.name
         self.is_ready = entry.state is EndpointState.READY
-        self.subset_weight = 0.0  # the part of its weight in the list that this balancer's subset covers
-        self.weight_share = 1.0  # share of its weight that advice leaves it
+        self.subset_weight = 0.0  # part of its listed weight that the subset covers
+        self.weight_share = 1.0  # share of its weight that it keeps by planners' advice
         self.next_turn = 0.0  # virtual time of its next turn
-        self.send_tokens = TokenBucket()  # sends during its slow start
-        self.leases: deque[list[float]] = deque()  # leases of such sends: [expires at (ms), sends left]
+        self.send_tokens = TokenBucket()  # limits the sends during its slow start
+        self.leases: deque[list[float]] = deque()  # extra sends in slow start: [expires at (ms), sends left]
         self.failures = DecayingAverage(FAILURE_DECAY_MS)
         self.slowdown = DecayingAverage()  # latencies over the mean of their class
         self.health = EndpointHealth()
-        self.last_load_report: tuple[float, ...] = ()  # to count a report that several responses carry once
+        self.last_load_report: tuple[float, ...] = ()  # so that a repeated report counts once
         self.outstanding = 0  # attempts in flight
-        self.idle_since = math.inf  # when a connection to it last became idle; infinite: none is
+        self.idle_since = math.inf  # when a connection to it last became idle; infinite: none is idle
 
     def dedup_group(self, scope: DedupScope) -> int | None:
         """Return the zone or cell whose endpoints share its idempotency keys; None: all endpoints do."""
--- a/cometdoor/balancing/latency_estimation.py
+++ b/cometdoor/balancing/latency_estimation.py
@@ -14,7 +14,7 @@
 from cometdoor.balancing.endpoints import EndpointRecord
 from cometdoor.balancing.requests import Attempt, Request
 
-MAX_SLOWDOWN = 3.0  # slower endpoints count with this, and keep enough turns to notice a recovery
+MAX_SLOWDOWN = 3.0  # upper bound, so that slow endpoints keep enough turns to notice a recovery
 
 
 class LatencyEstimator:
@@ -32,7 +32,7 @@
     def success_ratio(self, endpoint: EndpointRecord, now: float) -> float:
         """Return the endpoint's success rate divided by that of all endpoints, at most 1.
 
-        Where all fail alike, as when the tier below is down, no endpoint is avoided for it.
+        If all fail equally, as when a dependency is down, no endpoint is avoided.
         """
         success = 1.0 - endpoint.failures.mean(0.0, PRIOR_SAMPLES, now)
         return min(success / max(1.0 - self.failures.mean(0.0, PRIOR_SAMPLES, now), 1e-3), 1.0)
@@ -63,7 +63,7 @@
             return
         ratio = latency / max(class_latency.mean(latency, 1.0, now), 1.0)
         if outcome is not Outcome.OK and ratio < self.slowdown(endpoint, now):
-            return  # it was cancelled too early to show that the endpoint is slower than known
+            return  # ended too early to show that the endpoint is slower than estimated
         endpoint.slowdown.add(ratio, now)
         endpoint.locality.slowdown.add(ratio, now)
         self._kind_slowdown.setdefault(endpoint.entry.kind, DecayingAverage()).add(ratio, now)
--- a/cometdoor/balancing/outlier_detection.py
+++ b/cometdoor/balancing/outlier_detection.py
@@ -17,30 +17,30 @@
 
 OUTLIER_FAILURE_RATE = 0.8  # of an unhealthy endpoint; one with a lower rate gets fewer turns, no ejection
 PRIOR_FAILURE_RATE = 0.02  # of a healthy endpoint, until its peers have shown another rate
-PRIOR_OUTCOMES = 20.0  # outcomes that the prior counts for; with 0 two chance failures in a row ejected
+PRIOR_OUTCOMES = 20.0  # weight of the prior, in outcomes; with 0, two random failures in a row ejected
 MIN_FAILURE_RATE = 0.01  # lower bound of the peers' failure rate
-MIN_PEER_RATIO = 1.5  # of an outlier's failure rate to its peers': none exists if these fail two of three
+MIN_PEER_RATIO = 1.5  # of an outlier's failure rate to its peers'; no outlier if peers fail two of three
 # Three failures in a row where two in a hundred are usual, or ten times the usual time without a response.
 # With 7, two failures in a row were enough: 1.4 false alarms per endpoint and hour at a request per second.
 EJECTION_NATS = 10.0
-CAUTION_NATS = 3.0  # evidence from which an endpoint is degraded: no requests that can't be retried
-CAUTION_DEVIATIONS = 2.0  # standard deviations, plus one failure; a fixed number degraded half of a fleet
-# Times between responses are taken to be exponential until more responses are late than that implies: one in
-# fifty was late by ten times the usual time, and healthy endpoints were ejected for it.
+CAUTION_NATS = 3.0  # from this evidence on an endpoint is degraded: it gets no requests that can't be retried
+CAUTION_DEVIATIONS = 2.0  # standard deviations, plus one failure; a fixed threshold degraded half of a fleet
+# Times between responses are assumed to be exponential until more responses are late than that implies: one
+# in fifty was late by ten times the usual time, and healthy endpoints were ejected.
 PRIOR_RESPONSES, PRIOR_LATE_SHARE = 200.0, 0.00005
-PRIOR_TIMELY_RESPONSES = 5.0  # responses in time that are assumed; few, so that it soon shows if all are slow
+PRIOR_TIMELY_RESPONSES = 5.0  # weight of the prior; small, so that a slowdown of all soon shows
 MAX_MISSED_RESPONSES = 40.0
-MAX_OUTCOME_NATS = 15.0  # so low that one successful trial ends an ejection, and two or three the degradation
-RECENT_DECAY_MS = 2_000.0  # short, so that a fault which begins everywhere at once isn't seen as an outlier's
+MAX_OUTCOME_NATS = 15.0  # low enough that one successful trial ends an ejection, two or three a degradation
+RECENT_DECAY_MS = 2_000.0  # short, so that a fault that affects all endpoints at once ejects none
 OUTCOME_DECAY_MS = 10_000.0
 EVIDENCE_DECAY_MS = 60_000.0  # longer than the time between trials
-MAX_EJECTED_SHARE = 0.5  # if more would be ejected, none is: the fault is in something that they share
+MAX_EJECTED_SHARE = 0.5  # if more would be ejected, none is: the cause is something that they share
 EVALUATION_INTERVAL_MS = 50.0
 BASE_EJECTION_MS = 1_000.0  # until the first trial; doubled after each trial that fails
 MAX_EJECTION_MS = 4_000.0  # by then the endpoint list has usually dropped a failed endpoint
 TRIAL_SPACING_MS = 50.0  # mean time between trials of one endpoint, by all balancers that share it
-# How strongly an outcome speaks against the endpoint (1) or for it (-1), where the host does not say. An
-# error may be the fault of a tier behind it, a lost connection that of the network.
+# How strongly an outcome is evidence against the endpoint (1) or for it (-1), if the host doesn't specify it.
+# An error may be caused by the endpoint's dependencies, a lost connection by the network.
 DEFAULT_BLAME = {
     Outcome.OK: -1.0,
     Outcome.ERROR: 0.5,
@@ -59,7 +59,7 @@
     recent_outcomes: DecayingAverage = field(default_factory=lambda: DecayingAverage(RECENT_DECAY_MS))
     recovered_at: float = 0.0  # when it first responded after it had refused connections; 0: never
     ejection_ms: float = 0.0  # duration of the current ejection; 0: there is none
-    ejected_until: float = -math.inf  # set where it accepts no connection
+    ejected_until: float = -math.inf  # set when it refuses connections
     next_trial_at: float = -math.inf
     outcome_nats: float = 0.0
     _is_unreachable: bool = False  # it has refused connections, and not responded since
@@ -87,7 +87,7 @@
         self._response_rate += 1.0 / expected_ms
 
     def on_attempt_ended(self, expected_ms: float, is_response: bool, now: float) -> float:
-        """Stop to expect its response; return how many had been missed if this is a response, else 0."""
+        """Stop expecting its response; return how many had been missed if this is a response, else 0."""
         self._advance(now)
         self._response_rate = max(self._response_rate - 1.0 / expected_ms, 0.0)
         if not is_response:
@@ -98,7 +98,7 @@
     def add_evidence(self, blame: float, peer_rate: float, now: float, missed: float = 0.0) -> None:
         """Add an outcome's blame, in [-1, 1], given that its peers fail at the rate `peer_rate`.
 
-        `missed`: missed responses that are evidence of the same attempt: no longer counted as missed.
+        `missed`: missed responses that are evidence of the same attempt; they are subtracted.
         """
         self._advance(now)
         self._missed = max(self._missed - missed, 0.0)
@@ -111,7 +111,7 @@
     def schedule_trial(self, jitter: float, balancers_per_endpoint: float, now: float) -> None:
         """Schedule the next trial, after a time that doubles; its limit grows with the number of balancers.
 
-        Else hundreds of balancers would each try the endpoint every few seconds. `jitter`: a random factor.
+        Otherwise hundreds of balancers would each try it every few seconds. `jitter`: a random factor.
         """
         longest_ms = max(MAX_EJECTION_MS, balancers_per_endpoint * TRIAL_SPACING_MS)
         self.ejection_ms = min(max(2.0 * self.ejection_ms, BASE_EJECTION_MS), longest_ms)
@@ -126,13 +126,13 @@
         self.ejection_ms, self.ejected_until, self.next_trial_at = 0.0, -math.inf, -math.inf
 
     def on_connect_failed(self, is_unreachable: bool, now: float) -> None:
-        """Eject it for a time: each attempt there would fail and use up some of the retry budget.
+        """Eject the endpoint for a time: each attempt would fail and use up some of the retry budget.
 
         Costs capacity if a single connection failed by chance. `is_unreachable`: no process listens there;
-        one that responds later has most likely just started, whatever a late endpoint list says.
+        one that responds later has probably just started, even if the endpoint list doesn't show it yet.
         """
         self._is_unreachable = self._is_unreachable or is_unreachable
-        if now >= self.ejected_until:  # else another attempt of the same time has ejected it already
+        if now >= self.ejected_until:  # otherwise a concurrent attempt has ejected it already
             self.ejection_ms = min(max(2.0 * self.ejection_ms, BASE_EJECTION_MS), MAX_EJECTION_MS)
             self.ejected_until = now + self.ejection_ms
 
@@ -142,7 +142,7 @@
             return
         elapsed_ms = now - self._updated_at
         self._missed = min(self._missed + self._response_rate * elapsed_ms, MAX_MISSED_RESPONSES)
-        if not self.has_attempt_in_flight():  # all attempts were cancelled: there is nothing to respond to
+        if not self.has_attempt_in_flight():  # all attempts were cancelled: no response is expected
             self._missed *= math.exp(-elapsed_ms / RECENT_DECAY_MS)
         self.outcome_nats *= math.exp(-elapsed_ms / EVIDENCE_DECAY_MS)
         self._updated_at = now
@@ -206,8 +206,8 @@
     def _is_outlier(self, health: EndpointHealth, now: float) -> bool:
         """Return whether there is enough evidence, and its peers are still better at present.
 
-        Without the comparison the first to fail would stay ejected when all fail. Its cost: in a second fault
-        that affects all, those of a first one are reinstated.
+        Without the comparison, the first to fail would stay ejected when all fail. The cost: a second fault,
+        one that affects all, reinstates the endpoints ejected for the first one.
         """
         nats = self.nats(health, now)
         if nats < EJECTION_NATS or nats - health.outcome_nats >= EJECTION_NATS:
@@ -227,7 +227,7 @@
         ejected = frozenset(health for health in endpoints if self._is_outlier(health, now))
         if len(ejected) > MAX_EJECTED_SHARE * len(endpoints):
             ejected = frozenset()
-        for health in endpoints:  # not in a set's order, by which random draws would differ between runs
+        for health in endpoints:  # in list order: with a set's, random draws would differ between runs
             if health in ejected and health not in self._ejected and now >= health.next_trial_at:
                 self._schedule_trial(health, now)
         self._ejected = ejected
@@ -256,7 +256,7 @@
         return now - self._evaluated_at >= EVALUATION_INTERVAL_MS
 
     def excludes(self, health: EndpointHealth, now: float, may_be_trial: bool) -> bool:
-        """Return whether it may not be sent this request. `may_be_trial`: the request may be its trial."""
+        """Return whether the endpoint must not get this request; `may_be_trial`: it may serve as a trial."""
         if now < health.ejected_until:
             return True
         return health in self._ejected and not (may_be_trial and now >= health.next_trial_at)
--- a/cometdoor/balancing/requests.py
+++ b/cometdoor/balancing/requests.py
@@ -1,6 +1,6 @@
 """Records of requests and their attempts. No decisions are made here.
 
-Plain classes, not dataclasses: these would take 2 ms more to import.
+Plain classes instead of dataclasses, which would take 2 ms more to import.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Attempt:
-    """One sending of a request to one endpoint. Times are in milliseconds."""
+    """An attempt: a request sent to one endpoint. Times are in milliseconds."""
 
     __slots__ = ("endpoint", "expected_ms", "has_ended", "idle_ms", "not_executed", "sent_at")
 
@@ -64,7 +64,7 @@
         self.is_streaming = False  # a streamed response has started: no other attempt may respond
         self.timer_token = 0  # token of its current timer; timers with other tokens are ignored
         self.attempts: list[Attempt] = []
-        self.hedge_index = 0  # the attempt that is the hedge; 0: none is
+        self.hedge_index = 0  # index of the hedge among the attempts; 0: there is none
         self.is_open = True  # the client has no final response yet
 
     def outstanding(self) -> int:
--- a/cometdoor/balancing/simulator_adapter.py
+++ b/cometdoor/balancing/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Host of balancers for the simulator: its protocol on standard input and output. No decisions are made here.
+"""Runs balancers for the simulator, by its protocol on standard input and output. No decisions are made here.
 
 Each input line is a JSON object with events for many instances, each output line the reply with actions.
-Endpoint lists are decoded once for the process and handed to the instances as immutable values; instances
-share nothing else. The names in strings are the protocol's.
+Endpoint lists are decoded once for the process and passed to the instances as immutable values; instances
+share nothing else. Names in strings are those of the protocol.
 """
 
 from __future__ import annotations
@@ -212,7 +212,7 @@
 
     def _run_event(self, instance: int, values: Values, now: float, orders: list[Values]) -> None:
         if not isinstance(values, list):
-            raise TypeError(f"an event is an array, not {type(values).__name__}")
+            raise TypeError(f"an event must be an array, not {type(values).__name__}")
         name = values[0]
         if name == "census":
             self._lists[values[1]] = tuple(read_server(record) for record in values[2])
@@ -221,7 +221,7 @@
             self._instances[instance] = Balancer(settings, int(values[1]))
         elif name == "teardown":
             self._instances.pop(instance, None)
-            orders.clear()  # they concern requests that the next instance of that number doesn't know
+            orders.clear()  # their requests are unknown to the next instance of that number
         elif instance in self._instances:
             if name == "membership":
                 kind = LIST_KINDS[values[1]]
--- a/cometdoor/balancing/slow_start.py
+++ b/cometdoor/balancing/slow_start.py
@@ -11,7 +11,7 @@
 from cometdoor.balancing.constants import DECAY_MS, PRIOR_SAMPLES
 from cometdoor.balancing.endpoints import EndpointRecord, Locality
 
-OVERLOAD_MARGIN = 0.5  # at most this share of the overload that makes an endpoint in slow start collapse
+OVERLOAD_MARGIN = 0.5  # limit, as a share of the overload that makes an endpoint in slow start collapse
 
 
 def has_lease(endpoint: EndpointRecord, now: float) -> bool:
@@ -22,7 +22,7 @@
 
 
 def use_lease(endpoint: EndpointRecord, now: float) -> bool:
-    """Use a send of the oldest lease; False: no lease has one left."""
+    """Use one send of the oldest lease; return False if no lease has any left."""
     if has_lease(endpoint, now):
         endpoint.leases[0][1] -= 1.0
         return True
@@ -39,9 +39,9 @@
         self._rng = rng
 
     def capacity_share(self, endpoint: EndpointRecord, now: float) -> float:
-        """Return the endpoint's current share of its full capacity, which the settings say grows linearly."""
+        """Return the endpoint's current share of its full capacity, which grows linearly as configured."""
         slow_start_ms = self._settings.warm_up_ms
-        started_at = max(endpoint.entry.started_at, endpoint.health.recovered_at)  # the list may be late
+        started_at = max(endpoint.entry.started_at, endpoint.health.recovered_at)  # the list may be outdated
         age = now - started_at
         if not started_at or age >= slow_start_ms:
             return 1.0
@@ -53,7 +53,7 @@
 
         In slow start it gets at most its share of the rate that other endpoints had, even if these are gone.
         Weights limit it only relative to its peers: alone in its group, or after most of the fleet restarted,
-        it would get all requests, hedges and retries, and collapse. No limit while no rate was measured.
+        it would get all requests, hedges and retries, and collapse. No limit until a rate is measured.
         """
         capacity_share, locality = self.capacity_share(endpoint, now), endpoint.locality
         # Without a measured rate of its own, a locality uses the other one's; remote endpoints are shared by
@@ -73,7 +73,7 @@
     def on_sent(self, endpoint: EndpointRecord, now: float) -> None:
         """Count a send: in slow start against the limit, else for the rate that the limit is based on."""
         if self.capacity_share(endpoint, now) < 1.0:
-            if not use_lease(endpoint, now):  # leases first: they expire, the endpoint's tokens do not
+            if not use_lease(endpoint, now):  # leases first: they expire, while tokens do not
                 endpoint.send_tokens.tokens -= 1.0
             return
         locality = endpoint.locality
--- a/cometdoor/balancing/token_bucket.py
+++ b/cometdoor/balancing/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket. No decisions are made here; rate, capacity and the time are handed in."""
+"""A token bucket. No decisions are made here; the caller passes rate, capacity and time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
     def __init__(self, tokens: float = 0.0) -> None:
         self.tokens = tokens
-        self.refilled_at: float | None = None  # milliseconds; None: never yet
+        self.refilled_at: float | None = None  # milliseconds; None: not refilled yet
 
     def refill(self, rate: float, capacity: float, now: float) -> float:
         """Add `rate` tokens for each millisecond since the last refill; return the number of tokens now."""
--- a/cometdoor/errors.py
+++ b/cometdoor/errors.py
@@ -1,19 +1,19 @@
-"""The base of all errors that this project raises."""
+"""The base class of all errors that this project raises."""
 
 from __future__ import annotations
 
 
 class CometdoorError(Exception):
-    """An operation failed; the message says what, and the attributes where.
+    """An operation failed; the message says what happened, and the attributes where.
 
     Subclasses are raised from their cause, so that a traceback shows both.
 
     Attributes
     ----------
     step : str
-        What was being done, such as ``"connect"`` or ``"read"``; empty where the class already says it.
+        The operation that failed, such as ``"connect"`` or ``"read"``; empty where the class already says it.
     peer : str
-        With whom or with what: an address, a file; empty where there is none.
+        The other side, such as an address or a file; empty where there is none.
     """
 
     step: str = ""
