--- a/tests/balancing/drivers.py
+++ b/tests/balancing/drivers.py
@@ -1,4 +1,4 @@
-"""Rule checkers with given endpoints, and sequences of requests sent through them."""
+"""Helpers: rule checkers with given endpoints, and sequences of requests sent through them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def count_sends(checker: RuleChecker, count: int, pace_ms: float = 5.0) -> Counter[str]:
-    """Return sends by server, each answered before the next."""
+    """Send requests, each answered before the next, and return sends by server."""
     sends: Counter[str] = Counter()
     for _ in range(count):
         name = f"t{len(checker.requests)}"
@@ -65,7 +65,7 @@
 
 
 def first_servers(checker: RuleChecker, first: int, count: int, index: int, unhealthy: str) -> list[str]:
-    """Return the first server of each request; all but the failing server answer."""
+    """Return the first server of each request; attempts at the unhealthy server fail, all others succeed."""
     servers = []
     for number in range(first, first + count):
         checker.advance(40.0)
--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -1,7 +1,7 @@
 """Rule checker for the decision module: feeds events to it and rejects any action that breaks a rule.
 
-It plays the events that a test passes to it and has no model of servers: the test chooses the outcome of each
-attempt. The rules are checked as the operators state them, without the module's own records.
+It has no model of servers: a test passes the events and chooses the outcome of each attempt. The rules are
+checked as the operators state them, independently of the module's own records.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
     server: api.Endpoint
     sent_at: float
-    deadline: float  # when it times out
+    deadline: float  # time at which it times out
     outcome: Outcome | None = None
 
     def may_have_executed(self) -> bool:
@@ -57,7 +57,7 @@
 
 
 class RuleChecker:
-    """A decision module with a clock, timers and the records that the rules are checked against."""
+    """A balancer with a clock, timers and the records that its actions are checked against."""
 
     def __init__(self, settings: api.Settings = SETTINGS, seed: int = 1) -> None:
         self.settings = settings
@@ -150,7 +150,7 @@
         self.now = target
         for name, request in self.requests.items():
             if not request.answered and self.now > request.deadline:
-                raise RuleViolation(f"rule 1: {name} has no final answer in time")
+                raise RuleViolation(f"rule 1: {name} has no final answer before its deadline")
 
     # --- rules ---
 
@@ -165,35 +165,35 @@
                 request.answered = request.answered or type(action).__name__
             case api.Cancel():
                 if not self.settings.may_cancel:
-                    raise RuleViolation("a cancel where none is permitted")
+                    raise RuleViolation("an attempt is cancelled although the settings do not permit it")
                 if action.attempt >= len(self.requests[action.request].sent):
-                    raise RuleViolation("a cancel of an attempt never made")
+                    raise RuleViolation("an attempt is cancelled that was never sent")
             case api.SetTimer():
                 self.timers.append((self.now + action.after_ms, action.token))
 
     def check_send(self, action: api.Send) -> None:
         request, server = self.requests[action.request], self.endpoints[action.server]
         if request.answered:
-            raise RuleViolation("rule 1: an attempt after the final answer")
+            raise RuleViolation("rule 1: an attempt is sent after the final answer")
         if server.state is not EndpointState.READY:
-            raise RuleViolation("rule 3: an attempt to a server that drains or is gone")
+            raise RuleViolation("rule 3: an attempt is sent to a server that is draining or was removed")
         if request.outstanding() and not self.settings.may_duplicate:
-            raise RuleViolation("rule 2: two attempts at once where none may be")
+            raise RuleViolation("rule 2: concurrent attempts although the settings do not permit duplicates")
         if len(request.sent) >= self.settings.max_attempts:
-            raise RuleViolation("more attempts than permitted")
+            raise RuleViolation("more attempts than `max_attempts`")
         for sent in request.sent:
             if not sent.may_have_executed():
                 continue
             if request.cls.effect is Effect.UNSAFE:
-                raise RuleViolation("rule 2: a further attempt of an unsafe request that may have run")
+                raise RuleViolation("rule 2: an unsafe request that may have been executed is retried")
             if request.cls.effect is Effect.KEYED:
                 scope = request.cls.dedup_scope
                 if (scope is DedupScope.CELL and server.cell != sent.server.cell) or (
                     scope is DedupScope.ZONE and server.zone != sent.server.zone
                 ):
-                    raise RuleViolation("rule 2: a keyed request leaves its group")
+                    raise RuleViolation("rule 2: a keyed request is retried outside its deduplication scope")
                 if self.now - sent.sent_at > request.cls.key_ttl_ms:
-                    raise RuleViolation("rule 2: a keyed request outlives its key")
+                    raise RuleViolation("rule 2: a keyed request is retried after its key expired")
         limit_ms = action.timeout_ms or request.deadline - self.now
         sent = SentAttempt(server, self.now, min(request.deadline, self.now + limit_ms))
         request.sent.append(sent)
@@ -210,7 +210,9 @@
         retries = sum(sent.sent_at >= since and sent.outcome is not Outcome.NOT_SENT for sent in self.retries)
         arrivals = sum(at > since for at in self.arrivals)
         if retries > budget.floor + budget.per_request * arrivals:
-            raise RuleViolation(f"rule 5: {retries} further attempts where {arrivals} requests were taken")
+            raise RuleViolation(
+                f"rule 5: {retries} retries and hedges exceed the budget for {arrivals} requests"
+            )
 
     def check_rejection(self, name: str, request: TrackedRequest) -> None:
         may_have_executed = any(sent.may_have_executed() for sent in request.sent)
@@ -218,4 +220,4 @@
             request.cls.effect is Effect.KEYED and request.cls.dedup_scope is DedupScope.ALL
         )
         if may_have_executed and not may_be_rejected:
-            raise RuleViolation(f"rule 2: {name} is refused though it may have run")
+            raise RuleViolation(f"rule 2: {name} is rejected although it may have been executed")
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -19,7 +19,7 @@
 
 
 def make_overloaded_checker(tier: int = 0, latency_ms: float = 10.0) -> RuleChecker:
-    """Return a checker that has learned from 100 responses; `count_rejected` adds requests without any."""
+    """Return a checker after 100 responses; `count_rejected` adds requests without responses."""
     classes = (replace(SAFE, latency_target_ms=800, value=5.0), replace(SAFE, value=1.0))
     checker = make_checker(*endpoints(9), settings=replace(SETTINGS, classes=classes, tiers=2, tier=tier))
     for number in range(100):
@@ -39,7 +39,7 @@
 
 
 def test_requests_that_would_be_late_are_rejected_at_the_first_tier_only() -> None:
-    """A queue, once built up, stays: clients time out and retry, and all work goes into late responses."""
+    """A queue that has built up stays: clients time out and retry, and all work goes into late responses."""
     assert 0 < count_rejected(make_overloaded_checker(), 0) < 200
     assert count_rejected(make_overloaded_checker(tier=1), 0) == 0
 
@@ -49,7 +49,7 @@
     assert count_rejected(make_overloaded_checker(latency_ms=450.0), 0) < count_rejected(
         make_overloaded_checker(latency_ms=450.0), 1
     )
-    # Responses were fast until now.
+    # The same with fast responses so far.
     assert count_rejected(make_overloaded_checker(), 0) <= count_rejected(make_overloaded_checker(), 1)
 
 
@@ -67,10 +67,7 @@
 def test_a_burst_at_one_of_many_balancers_is_admitted_while_responses_are_in_time(
     latency_ms: float, is_admitted: bool
 ) -> None:
-    """Day guanacaste big-2:
-
-    a sixth was rejected although the fleet had capacity: two concurrent were too many.
-    """
+    """Day guanacaste big-2: a sixth was rejected despite free capacity: two concurrent were too many."""
     checker = make_checker(*endpoints(9), settings=replace(SETTINGS, balancers=270))
     for number in range(20):
         checker.request(f"w{number}")
@@ -82,10 +79,7 @@
 
 
 def test_the_concurrency_limit_follows_the_mean_latency_target_of_arrivals() -> None:
-    """Reload day of the first site:
-
-    by the lowest latency target, searches were rejected despite free capacity.
-    """
+    """Reload day of the first site: a limit by the lowest target rejected searches despite free capacity."""
     limits = []
     for long_requests in (1, 9):
         classes = (SAFE, replace(SAFE, latency_target_ms=5000, deadline_ms=9000))
@@ -99,7 +93,7 @@
 
 
 def test_the_concurrency_limit_falls_when_responses_are_late() -> None:
-    """Incident i33a6b4: servers slowed by overload were kept overloaded up to their clients' timeouts."""
+    """Incident i33a6b4: servers slowed by overload stayed overloaded until their clients' timeouts."""
     limits = []
     for target_usage in (0.2, 2.0):
         admission = Admission(replace(SETTINGS, classes=(replace(SAFE, late_value=0.3),)))
@@ -109,12 +103,12 @@
             admission.concurrency_limit(float(at))
         limits.append(admission.concurrency_limit(10_000.0))
     at_20_a_second = 20.0 * OVERLOAD_LATENCY_SHARE * SAFE.latency_target_ms / 1000.0
-    assert limits[1] <= 1.0 + at_20_a_second  # 1 for the floor
+    assert limits[1] <= 1.0 + at_20_a_second  # 1 for the minimum limit
     assert limits[1] < 0.66 * limits[0]
 
 
 def test_lost_responses_do_not_exhaust_the_concurrency_limit() -> None:
-    """311 searches were rejected beside idle servers: 17 requests waited for responses that never came."""
+    """17 requests without a response filled the limit: 311 searches were rejected while servers were idle."""
     classes = (SAFE, replace(UNSAFE, deadline_ms=60_000.0, late_value=0.3))
     checker = make_checker(*endpoints(4), settings=replace(SETTINGS, classes=classes))
     lost_responses = 0
@@ -125,7 +119,7 @@
         if sent_to(checker.request(f"s{number}")):
             checker.end_attempt(f"s{number}", 0, Outcome.OK)
         elif number > 40:
-            raise AssertionError(f"search {number} is not let in beside {lost_responses} lost answers")
+            raise AssertionError(f"search {number} is not admitted after {lost_responses} lost responses")
     assert lost_responses == 25
 
 
@@ -139,7 +133,7 @@
 
 
 def test_a_queued_request_is_sent_when_capacity_is_free() -> None:
-    """With an immediate rejection, a client without retries left lost its request to a random burst."""
+    """Immediate rejections in a random burst failed the requests of clients without retries left."""
     checker = make_checker(*endpoints(1))
     for number in range(20):
         checker.request(f"w{number}")
@@ -149,7 +143,7 @@
     assert len(checker.requests["w19"].sent) == 1  # the newest first
     checker.advance(balancer.MAX_QUEUE_WAIT_SHARE * SAFE.latency_target_ms)
     assert checker.requests["w3"].answered == "Reject"
-    assert len(checker.requests["w19"].sent) == 1  # the timer of its wait is no longer its delay to a copy
+    assert len(checker.requests["w19"].sent) == 1  # its queue timer has not sent a hedge
 
 
 def test_expired_queued_requests_are_removed_while_others_arrive() -> None:
@@ -171,7 +165,7 @@
 
 
 def served_shares_in_overload(worst_class_weight: float) -> tuple[float, float]:
-    """Return the served shares of equally frequent requests of value 3 and 1, at half of their rate."""
+    """Return the served shares of equally frequent requests of value 3 and 1, with capacity for half."""
     classes = (replace(UNSAFE, value=3.0, deadline_ms=5000), replace(UNSAFE, deadline_ms=5000))
     checker = make_checker(
         *endpoints(9),
@@ -192,7 +186,7 @@
                 and not request.answered
                 and all(queued_name != queues for _, queues in responses)
             ):
-                free_at = max(free_at, checker.now) + 20.0  # one answer in 20 ms, first come, first served
+                free_at = max(free_at, checker.now) + 20.0  # one response per 20 ms, in order of sends
                 responses.append((free_at, queued_name))
         for at, queued_name in list(responses):
             if at <= checker.now:
@@ -209,7 +203,7 @@
 
 
 def test_overload_is_spread_over_classes_if_the_worst_served_class_has_weight() -> None:
-    """Random overload days: the class of lowest value had 0.05 of its requests served, the highest 0.91."""
+    """Random overload days: 0.05 of the requests of lowest value were served, and 0.91 of the highest."""
     high_value, low_value = served_shares_in_overload(0.0)
     assert high_value > 1.5 * low_value
     high_value, low_value = served_shares_in_overload(0.3)
@@ -226,10 +220,10 @@
     )
     rejections: Counter[int] = Counter()
     for number in range(1200):
-        tenant = int(number % 5 == 0)  # 80 a second from the first, 20 from the second
+        tenant = int(number % 5 == 0)  # 80 per second from the first, 20 from the second
         checker.request(f"t{tenant}-{number}", UNSAFE_INDEX, tenant=tenant)
         checker.advance(10.0)
-        if number % 2:  # 50 a second are served, half of what comes
+        if number % 2:  # 50 per second are served, half of the arrivals
             out = next(name for name, request in checker.requests.items() if request.outstanding())
             checker.end_attempt(out, 0, Outcome.OK)
     for action in checker.log:
@@ -240,7 +234,7 @@
 
 
 def test_clients_that_all_shorten_their_timeout_are_not_mistaken_for_retries() -> None:
-    """Churn day of national-lookup: a tenth was rejected as late for 10 s, at half of the limit."""
+    """Churn day of national-lookup: a tenth was rejected as late retries for 10 s, at half of the limit."""
     estimate = admission.ClientTimeoutEstimate()
     results = [
         estimate.is_shortened(4000.0 if at < 5_000 else 2000.0, float(at)) for at in range(0, 20_000, 100)
@@ -269,19 +263,19 @@
 
 
 def test_attempts_past_their_latency_target_leave_capacity_to_those_in_time() -> None:
-    """Incident i6f94b9: the newest attempt went first, and a fifth of all responses went to late attempts."""
+    """Incident i6f94b9: the newest attempt was sent first; a fifth of all responses went to late attempts."""
     # 1500 ms of 3000 have passed, and the latency target is 1000 ms.
     assert count_sent_past_target(0.0, remaining_ms=1500.0) == 0
     # A first attempt: clients here always wait 2700 ms.
     assert count_sent_past_target(0.0, remaining_ms=2690.0) == 20
     # 800 ms have passed: the response can still be in time.
     assert count_sent_past_target(0.0, remaining_ms=2200.0) == 20
-    # Late responses are worth as much as others.
+    # Late responses earn the full value.
     assert count_sent_past_target(1.0, remaining_ms=1500.0) == 20
 
 
 def test_attempts_past_their_latency_target_do_not_use_up_the_tenants_share() -> None:
-    """Day caruaru overload: rejected attempts were retried too late and took the tokens of those in time."""
+    """Day caruaru overload: late retries of rejected attempts used up the tokens of timely ones."""
     settings = replace(SETTINGS, tenants=(api.Tenant(10.0),), over_share_value=0.0)
     checker = make_checker(*endpoints(9), settings=settings)
     for number in range(60):
@@ -293,7 +287,7 @@
 
 @pytest.mark.parametrize(("late_value", "ends_at"), [(0.0, 1000.0), (0.2, 3000.0)])
 def test_a_request_without_late_value_ends_at_its_latency_target(late_value: float, ends_at: float) -> None:
-    """Incident i40f47c: requests without any value left kept the servers of the first tier overloaded."""
+    """Incident i40f47c: requests that could earn no value kept the servers of the first tier overloaded."""
     classes = (replace(UNSAFE, late_value=late_value),)
     checker = make_checker(*endpoints(4), settings=replace(SETTINGS, classes=classes))
     checker.request("r")
--- a/tests/balancing/test_endpoint_health.py
+++ b/tests/balancing/test_endpoint_health.py
@@ -20,7 +20,7 @@
 
 
 def test_a_slow_server_loses_weight_and_regains_it() -> None:
-    """The list's weights need not reflect speed: slow servers had queues while fast ones were idle."""
+    """Listed weights may not reflect speed: slow servers had queues while fast ones were idle."""
     checker = make_checker(*endpoints(6))
     latencies = {f"s{i}": 10.0 for i in range(6)} | {"s3": 100.0}
     serve(checker, 120, latencies)
@@ -45,10 +45,7 @@
 
 
 def test_an_unresponsive_server_loses_weight_before_its_requests_time_out() -> None:
-    """Incident i6b4860:
-
-    hanging servers kept a third of their share, for unsafe requests up to the deadline.
-    """
+    """Incident i6b4860: hung servers kept a third of their share, for unsafe requests until the deadline."""
     checker = make_checker(*endpoints(6))
     serve(checker, 60)
     (server,) = sent_to(checker.request("r", UNSAFE_INDEX))
--- a/tests/balancing/test_endpoint_selection.py
+++ b/tests/balancing/test_endpoint_selection.py
@@ -84,7 +84,7 @@
 
 
 def test_a_keyed_request_is_sent_although_all_servers_of_its_cell_are_overloaded() -> None:
-    """Regression: the selection of a server once never ended here."""
+    """Regression: the selection of a server did not terminate."""
     checker = make_checker(*endpoints(9))
     for number in range(60):
         checker.request(f"r{number}", KEYED_INDEX)
@@ -92,7 +92,7 @@
 
 
 def test_removed_servers_and_finished_requests_leave_no_state() -> None:
-    """Weeks of deployments once left an entry for every server that ever existed."""
+    """Regression: over weeks of deployments, every server that ever existed left an entry."""
     checker = make_checker(*endpoints(2))
     for number in range(300):
         checker.list_servers(api.Endpoint(f"new{number}"), api.Endpoint(f"new{number + 1}"))
@@ -108,10 +108,7 @@
 
 
 def test_replaced_backends_leave_no_rotation_entries() -> None:
-    """Turns of small or failing servers lie far ahead in virtual time:
-
-    their entries were never visited again.
-    """
+    """Regression: turns of small or failing servers are far ahead, and their entries were never removed."""
     checker = RuleChecker()
     for generation in range(300):
         checker.list_servers(
--- a/tests/balancing/test_endpoint_watch.py
+++ b/tests/balancing/test_endpoint_watch.py
@@ -36,9 +36,9 @@
 
 
 def test_a_repeatedly_failing_discovery_is_retried_soon() -> None:
-    """Incident rac2dfd: a backoff that grew to 5 s after failed calls broke the rule on drains.
+    """Incident rac2dfd: a backoff that grew to 5 s after failed calls violated the rule on drains.
 
-    A change in discovery counts as notified after 6 s: a silent watch and two failed calls must fit in.
+    A change counts as notified after 6 s; a silent watch and two failed calls must fit into that time.
     """
     for seed in range(30):
         checker = RuleChecker(replace(SETTINGS, must_watch=True, max_refresh_ms=10_000.0), seed)
--- a/tests/balancing/test_hedge_gate.py
+++ b/tests/balancing/test_hedge_gate.py
@@ -1,4 +1,4 @@
-"""The hedge gate: it limits the windowed share of hedges among ended attempts."""
+"""The hedge gate: it limits the ratio of hedges to completed attempts in a sliding window."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def hedge_if_open(gate: HedgeGate, now: float) -> bool:
-    """A copy leaves where the gate is open."""
+    """Count a hedge if the gate is open, and return whether it was."""
     allowed = gate.is_open(now)
     if allowed:
         gate.on_hedge_sent(now)
--- a/tests/balancing/test_hedging.py
+++ b/tests/balancing/test_hedging.py
@@ -89,7 +89,7 @@
     assert len(checker.requests["r"].sent) == 2
     assert checker.feed(api.StreamStarted("r", 1)) == [api.Cancel("r", 0)]
     assert checker.end_attempt("r", 0, Outcome.CANCELLED) == []
-    checker.requests["r"].answered = "stream"  # no deadline from here on
+    checker.requests["r"].answered = "stream"  # the checker applies no deadline from here on
     checker.advance(5 * HEDGE_DELAY_MS)
     assert checker.disconnect("r") == []
     assert len(checker.requests["r"].sent) == 2
--- a/tests/balancing/test_idle_connections.py
+++ b/tests/balancing/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Closing of idle connections after one was lost while it was idle."""
+"""Closing of idle connections after one was dropped while idle."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def make_checker_after_reset(idle_ms: float, reset_after_ms: float) -> RuleChecker:
-    """Return a checker after a single server's connection was lost, this long after its last use."""
+    """Return a checker after a reset, `reset_after_ms` after a send on a connection idle for `idle_ms`."""
     checker = make_checker(*endpoints(1))
     serve(checker, 1)
     checker.advance(idle_ms)
@@ -35,7 +35,7 @@
 
 
 def test_connections_idle_as_long_as_a_lost_one_are_closed_before_reuse() -> None:
-    """Day valle rough-1: a sixth of all requests was reset, and unsafe ones can't be retried."""
+    """Day valle rough-1: a sixth of all requests were reset, and unsafe ones can't be retried."""
     checker = make_checker_after_reset(2000.0, 1.0)
     assert not closes_idle_connections(checker, 900.0, "early")
     assert closes_idle_connections(checker, 1100.0, "late")
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""The outlier detector alone: which servers it ejects, how soon, and none for failures that all share."""
+"""The outlier detector alone: it ejects failing servers soon, and none for failures that all share."""
 
 from __future__ import annotations
 
@@ -100,10 +100,9 @@
     for _ in range(2):
         server.on_sent(USUAL_LATENCY_MS, 0.0)
     assert server.nats(0.0) == 0.0
-    assert server.nats(1.5 * USUAL_LATENCY_MS) == pytest.approx(3.0)  # two answers each 1.5 times overdue
-    server.on_attempt_ended(
-        USUAL_LATENCY_MS, False, 1.5 * USUAL_LATENCY_MS
-    )  # cancelled: what was not said was not said
+    assert server.nats(1.5 * USUAL_LATENCY_MS) == pytest.approx(3.0)  # two attempts, each 1.5 times overdue
+    # Cancelled: the responses missed so far still count.
+    server.on_attempt_ended(USUAL_LATENCY_MS, False, 1.5 * USUAL_LATENCY_MS)
     assert server.nats(2.5 * USUAL_LATENCY_MS) == pytest.approx(4.0)
     server.on_attempt_ended(USUAL_LATENCY_MS, True, 2.5 * USUAL_LATENCY_MS)
     assert server.nats(99.0 * USUAL_LATENCY_MS) == 0.0
@@ -148,7 +147,7 @@
         simulated.now += 100.0
         simulated.call(0, Outcome.TIMEOUT)
         simulated.call(1)
-    assert simulated.is_excluded(0)  # not at once
+    assert simulated.is_excluded(0)  # no trial immediately after the ejection
     on_sent: list[float] = []
     while simulated.now < 200_000.0:
         simulated.now += 20.0
@@ -189,7 +188,10 @@
 
 
 def test_a_server_that_loses_one_response_in_eight_is_degraded() -> None:
-    """Each loss is forgotten with the next answers, their share is not. Where all lose none is held to it."""
+    """Each loss is forgotten with the next responses, but the share of losses is not.
+
+    If all servers lose as many, none is degraded.
+    """
     degraded = {0.0: [0, 0], 0.13: [0, 0]}
     for others_share, counts in degraded.items():
         for seed in range(20):
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -42,10 +42,7 @@
 
 
 def test_a_keyed_request_is_retried_at_the_only_server_of_its_cell() -> None:
-    """Over sockets a zone had one server:
-
-    each of its errors failed the request, and its class was served worst.
-    """
+    """Over sockets a zone had one server: each of its errors failed a request; the class was served worst."""
     servers = (api.Endpoint("a", cell=0), api.Endpoint("b", cell=1), api.Endpoint("c", cell=2))
     checker = make_checker(*servers)
     (first,) = sent_to(checker.request("r", KEYED_INDEX))
@@ -116,7 +113,7 @@
 
 
 def test_retries_stay_within_the_default_budget_if_none_is_configured() -> None:
-    """If all servers fail, retries would multiply by the allowed attempts at every tier."""
+    """If all servers fail, each tier would multiply the requests by its allowed attempts."""
     budget = balancer.DEFAULT_RETRY_BUDGET
     retries = count_retries(make_checker(*endpoints(9)), 200)
     assert 0 < retries <= budget.floor + budget.per_request * 200
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules as properties over generated event sequences."""
+"""Rules 1 to 5 as properties over generated event sequences."""
 
 from __future__ import annotations
 
@@ -147,7 +147,7 @@
     assert sends <= 1.5 * capacity * rounds + 2
 
 
-# --- the checker itself can fail ---
+# --- the checker itself ---
 
 Violation = Callable[[RuleChecker], object]
 SEND_S0, SEND_S3 = api.Send("r", "s0"), api.Send("r", "s3")
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that make no sense are rejected, naming the setting."""
+"""Invalid settings are rejected with an error that names the setting."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_simulator_adapter.py
+++ b/tests/balancing/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter end to end, as a subprocess with hand-written lines."""
+"""The simulator adapter end to end, as a subprocess with hand-written input lines."""
 
 from __future__ import annotations
 
@@ -287,7 +287,7 @@
 
 
 def test_orders_of_an_instance_closed_in_the_same_batch_are_dropped() -> None:
-    """They would act for requests that the instance opened after it was never given."""
+    """They are for requests that the newly opened instance never received."""
     result = run(batch(0.0, p0=opening()), batch(1.0, p0=[demand("00aa"), ["teardown"], *opening()]))
     assert not [order for order in orders(result) if order[0] == "route"]
 
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -36,9 +36,9 @@
 
 
 def test_a_lone_server_in_slow_start_stays_within_its_overload_budget() -> None:
-    """Rule 4: weights limit a server in slow start only relative to its peers, and here there are none."""
+    """Rule 4: weights limit a server in slow start only relative to its peers, and here it has none."""
     checker = make_checker(*endpoints(10), settings=SLOW_START_SETTINGS)
-    serve(checker, 400)  # ten warm servers bear 10 calls a second each
+    serve(checker, 400)  # each of ten warm servers gets 10 requests per second
     starting = replace(endpoints(10)[0], started_at=checker.now)
     checker.list_servers(starting)
     window_ms = 2000.0
@@ -90,13 +90,13 @@
 def test_a_server_that_answers_after_a_refused_connection_is_in_slow_start(
     blame: float, is_in_slow_start: bool
 ) -> None:
-    """The endpoint list is outdated and has not announced the restart."""
+    """The endpoint list is outdated and doesn't show the restart."""
     checker = make_checker(*endpoints(10), settings=SLOW_START_SETTINGS)
     first_servers(checker, 0, 300, 0, "")
     while sent_to(checker.request(name := f"c{len(checker.requests)}"))[0] != "s0":
         checker.end_attempt(name, 0, Outcome.OK)
     checker.end_attempt(name, 0, Outcome.CONNECT_FAILED, blame=blame)
     checker.advance(5_000.0)
-    first_servers(checker, 400, 20, 0, "")  # one of them is answered there
+    first_servers(checker, 400, 20, 0, "")  # s0 answers one of them
     after = first_servers(checker, 500, 100, 0, "").count("s0")
-    assert (after <= 6) is is_in_slow_start  # of 10
+    assert (after <= 6) is is_in_slow_start  # 10 without slow start
--- a/tests/balancing/test_zone_preference.py
+++ b/tests/balancing/test_zone_preference.py
@@ -29,7 +29,7 @@
 
 
 def test_the_preference_for_the_local_zone_ends_when_its_servers_are_overloaded() -> None:
-    """Day liberia big-2: traffic had moved to one zone, and the zone's balancers kept all of it there."""
+    """Day liberia big-2: traffic moved to one zone, and that zone's balancers kept all of it there."""
     checker = make_checker(*endpoints(8), settings=replace(SETTINGS, cross_zone_price=0.1))
     local = {server.name: 30.0 for server in endpoints(8) if server.zone == SETTINGS.zone}
     serve(checker, 120, local)
@@ -44,20 +44,17 @@
 
 
 def test_a_single_server_of_the_local_zone_does_not_get_an_entire_burst() -> None:
-    """Over sockets a zone had one server of a tier:
-
-    compared only with its own zone, it was never overloaded.
-    """
+    """Over sockets a zone had one server of a tier, which never counted as overloaded within its zone."""
     servers = FOUR_ZONES[:4]
     checker = make_checker(*servers, settings=replace(SETTINGS, cross_zone_price=0.015, tier=1, tiers=2))
     sends = Counter(sent_to(checker.request(f"r{number}", UNSAFE_INDEX))[0] for number in range(40))
-    assert 10 <= sends["s0"] <= 21  # 16 to 20 over five seeds, 27 by its preference alone
+    assert 10 <= sends["s0"] <= 21  # 16 to 20 with five seeds; 27 by the local preference alone
 
 
 def share_in_local_zone(
     utilisation: dict[int, float], servers: tuple[api.Endpoint, ...] = FOUR_ZONES
 ) -> float:
-    """Return the share of requests that stay in the local zone, zone 0, at these utilisations by zone."""
+    """Return the share of requests that stay in the local zone, zone 0, at these utilizations by zone."""
     checker = make_checker(*servers, settings=replace(SETTINGS, cross_zone_price=0.015, balancers=24))
     zones = {server.name: server.zone for server in servers}
     local = 0
@@ -70,12 +67,12 @@
 
 
 def test_requests_stay_in_the_local_zone_while_its_servers_report_low_utilisation() -> None:
-    """Each crossing has a cost; with rings that mixed the zones 0.23 of all requests stayed, as by chance."""
+    """Crossing zones has a cost; with rings that mixed zones, 0.23 of the requests stayed, as by chance."""
     assert share_in_local_zone({0: 0.3, 1: 0.3, 2: 0.3, 3: 0.3}) > 0.95
 
 
 def test_a_zone_that_reports_high_utilisation_gets_the_share_of_its_size() -> None:
-    """Otherwise the servers of the zone that most traffic enters are overloaded while others are not."""
+    """Otherwise the servers of the zone that receives most traffic are overloaded while others are not."""
     assert share_in_local_zone({0: 0.95, 1: 0.5, 2: 0.5, 3: 0.5}) == pytest.approx(0.25, abs=0.06)
 
 
@@ -84,10 +81,7 @@
 
 
 def test_requests_leave_a_smaller_zone_at_a_lower_utilisation() -> None:
-    """One server queues at a load that six together serve:
-
-    over sockets its zone kept too much (0.78 of G).
-    """
+    """One server has queues at a load that six can serve; over sockets its zone kept too much (0.78 of G)."""
     utilisation = dict.fromkeys(range(4), 0.5)
     assert share_in_local_zone(utilisation) > 0.9
     assert share_in_local_zone(utilisation, FOUR_ZONES[:4]) < 0.4
@@ -105,11 +99,11 @@
     local = {server.name for server in FOUR_ZONES if server.zone == 0}
     assert local & serve(checker, 60).keys()
     checker.list_servers(*(server for server in FOUR_ZONES if server.name not in local))
-    assert not local & serve(checker, 60, tag="b").keys()  # which also fails where one of them is refused
+    assert not local & serve(checker, 60, tag="b").keys()  # `serve` also fails if a request is rejected
 
 
 def test_a_local_zone_in_slow_start_gets_its_reduced_share_and_other_zones_the_remainder() -> None:
-    """Rule 4: the zone's warm servers had served nearly all requests, so its own rate is the measure."""
+    """Rule 4: the limit is based on the zone's own rate, as its warm servers served nearly all requests."""
     settings = replace(
         SETTINGS, cross_zone_price=0.015, balancers=24, slow_start_initial_share=0.1, warm_up_ms=20_000.0
     )
@@ -125,7 +119,7 @@
     after = serve(checker, 300, tag="b")
     local_sends = sum(before[name] for name in local)
     assert local_sends >= 200
-    # Warm to 0.25 after 3 s, 0.175 on the mean, each with a call to begin with.
+    # The capacity share reaches 0.25 after 3 s, with a mean of 0.175; each server starts with one request.
     max_sends = local_sends * 0.175 * settings.overload_factor * slow_start.OVERLOAD_MARGIN + len(local)
     assert 0 < sum(after[name] for name in local) <= max_sends
 
@@ -142,7 +136,7 @@
     checker = make_checker(*running, settings=settings)
     before = serve(checker, 300)  # one in 10 ms, for 3 s
     one, *_ = (replace(server, started_at=checker.now) for server in starting)
-    running = running if local_zone_is_starting else running[:1]  # that the other side is wanted at all
+    running = running if local_zone_is_starting else running[:1]  # so few that other zones are needed
     checker.list_servers(one, *running)
     after = serve(checker, 300, tag="b")
     max_sends = max(before.values()) * 0.175 * settings.overload_factor * slow_start.OVERLOAD_MARGIN
