--- a/tests/balancing/drivers.py
+++ b/tests/balancing/drivers.py
@@ -38,7 +38,7 @@
     checker: RuleChecker,
     count: int,
     latencies: dict[str, float] | None = None,
-    fails: frozenset[str] = frozenset(),
+    failing: frozenset[str] = frozenset(),
     tag: str = "r",
 ) -> Counter[str]:
     """Send requests one after another, each answered after its server's latency; return sends by server."""
@@ -48,18 +48,18 @@
         (server,) = sent_to(checker.request(name, UNSAFE_INDEX))
         sends[server] += 1
         checker.advance((latencies or {}).get(server, 10.0))
-        checker.end_attempt(name, 0, Outcome.ERROR if server in fails else Outcome.OK)
+        checker.end_attempt(name, 0, Outcome.ERROR if server in failing else Outcome.OK)
     return sends
 
 
-def count_sends(checker: RuleChecker, count: int, pace_ms: float = 5.0) -> Counter[str]:
+def count_sends(checker: RuleChecker, count: int, interval_ms: float = 5.0) -> Counter[str]:
     """Send requests, each answered before the next, and return sends by server."""
     sends: Counter[str] = Counter()
     for _ in range(count):
         name = f"t{len(checker.requests)}"
         (server,) = sent_to(checker.request(name, UNSAFE_INDEX))
         sends[server] += 1
-        checker.advance(pace_ms)
+        checker.advance(interval_ms)
         checker.end_attempt(name, 0, Outcome.OK)
     return sends
 
--- a/tests/balancing/harness.py
+++ b/tests/balancing/harness.py
@@ -73,8 +73,8 @@
     def feed(self, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.EndpointsChanged) and event.kind is not EndpointListKind.FAILED:
             if event.kind is not EndpointListKind.DELTA:
-                gone = {n: replace(s, state=EndpointState.REMOVED) for n, s in self.endpoints.items()}
-                self.endpoints.update(gone)
+                removed = {n: replace(s, state=EndpointState.REMOVED) for n, s in self.endpoints.items()}
+                self.endpoints.update(removed)
             self.endpoints.update({server.name: server for server in event.endpoints})
         actions = self.balancer.handle(event, self.now)
         for action in actions:
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -74,8 +74,8 @@
         checker.advance(latency_ms)
         checker.end_attempt(f"w{number}", 0, Outcome.OK)
         checker.advance(1000.0 - latency_ms * 0.5)
-    out = sum(bool(sent_to(checker.request(f"c{number}"))) for number in range(5))
-    assert (out >= 3) is is_admitted
+    in_flight = sum(bool(sent_to(checker.request(f"c{number}"))) for number in range(5))
+    assert (in_flight >= 3) is is_admitted
 
 
 def test_the_concurrency_limit_follows_the_mean_latency_target_of_arrivals() -> None:
@@ -102,8 +102,8 @@
             admission.target_usage.add(target_usage, float(at))
             admission.concurrency_limit(float(at))
         limits.append(admission.concurrency_limit(10_000.0))
-    at_20_a_second = 20.0 * OVERLOAD_LATENCY_SHARE * SAFE.latency_target_ms / 1000.0
-    assert limits[1] <= 1.0 + at_20_a_second  # 1 for the minimum limit
+    limit_at_20_per_s = 20.0 * OVERLOAD_LATENCY_SHARE * SAFE.latency_target_ms / 1000.0
+    assert limits[1] <= 1.0 + limit_at_20_per_s  # 1 for the minimum limit
     assert limits[1] < 0.66 * limits[0]
 
 
@@ -151,7 +151,7 @@
     for number in range(500):
         checker.request(f"r{number}")
         checker.advance(10.0)
-    queued = sum(len(queues) for queues in checker.balancer._admission.queues.values())
+    queued = sum(len(pending) for pending in checker.balancer._admission.queues.values())
     assert queued <= balancer.MAX_QUEUE_WAIT_SHARE * SAFE.latency_target_ms / 10.0 + 1
 
 
@@ -184,7 +184,7 @@
             if (
                 request.sent
                 and not request.answered
-                and all(queued_name != queues for _, queues in responses)
+                and all(queued_name != pending for _, pending in responses)
             ):
                 free_at = max(free_at, checker.now) + 20.0  # one response per 20 ms, in order of sends
                 responses.append((free_at, queued_name))
@@ -224,8 +224,8 @@
         checker.request(f"t{tenant}-{number}", UNSAFE_INDEX, tenant=tenant)
         checker.advance(10.0)
         if number % 2:  # 50 per second are served, half of the arrivals
-            out = next(name for name, request in checker.requests.items() if request.outstanding())
-            checker.end_attempt(out, 0, Outcome.OK)
+            in_flight = next(name for name, request in checker.requests.items() if request.outstanding())
+            checker.end_attempt(in_flight, 0, Outcome.OK)
     for action in checker.log:
         if isinstance(action, api.Reject):
             rejections[int(action.request[1])] += 1
--- a/tests/balancing/test_endpoint_health.py
+++ b/tests/balancing/test_endpoint_health.py
@@ -40,7 +40,7 @@
 def test_no_server_is_avoided_when_all_fail_equally() -> None:
     """A dependency is down: every server here answers with errors."""
     checker = make_checker(*endpoints(6))
-    sends = serve(checker, 120, fails=frozenset(f"s{i}" for i in range(6)))
+    sends = serve(checker, 120, failing=frozenset(f"s{i}" for i in range(6)))
     assert min(sends.values()) >= 15
 
 
@@ -61,8 +61,8 @@
 
 def test_a_restarted_server_loses_its_failure_history() -> None:
     checker = make_checker(*endpoints(4))
-    serve(checker, 80, fails=frozenset({"s1"}))
-    assert serve(checker, 40, fails=frozenset({"s1"}), tag="b")["s1"] <= 3
+    serve(checker, 80, failing=frozenset({"s1"}))
+    assert serve(checker, 40, failing=frozenset({"s1"}), tag="b")["s1"] <= 3
     checker.list_servers(replace(endpoints(4)[1], started_at=checker.now), kind=EndpointListKind.DELTA)
     assert serve(checker, 40, tag="c")["s1"] >= 7
 
@@ -131,8 +131,8 @@
     assert "s0" in serve(checker, 10, tag="after")
     checker.request("e", UNSAFE_INDEX)
     checker.request("f", UNSAFE_INDEX)
-    again = next(name for name in ("e", "f") if checker.requests[name].sent[0].server.name == "s0")
-    checker.end_attempt(again, 0, Outcome.CONNECT_FAILED)
+    refused = next(name for name in ("e", "f") if checker.requests[name].sent[0].server.name == "s0")
+    checker.end_attempt(refused, 0, Outcome.CONNECT_FAILED)
     assert "s0" not in serve(checker, 10, tag="again")
     checker.list_servers(replace(endpoints(2)[0], started_at=checker.now), kind=EndpointListKind.DELTA)
     assert "s0" in serve(checker, 10, tag="anew")
--- a/tests/balancing/test_endpoint_selection.py
+++ b/tests/balancing/test_endpoint_selection.py
@@ -125,7 +125,7 @@
             for attempt in checker.requests[name].outstanding():
                 checker.end_attempt(name, attempt, Outcome.CANCELLED)
         checker.advance(20_000.0)
-    module = checker.balancer
-    assert len(module._selection.endpoints) == 4
-    assert len(module._selection.rotation) <= 12
-    assert not module._requests and len(module._timers) <= 1
+    balancer = checker.balancer
+    assert len(balancer._selection.endpoints) == 4
+    assert len(balancer._selection.rotation) <= 12
+    assert not balancer._requests and len(balancer._timers) <= 1
--- a/tests/balancing/test_hedge_gate.py
+++ b/tests/balancing/test_hedge_gate.py
@@ -16,8 +16,8 @@
     return allowed
 
 
-LATER = 5000.0
-AFTER_WINDOW = attempts.HEDGE_WINDOW_MS + 2000.0
+LATER_MS = 5000.0
+AFTER_WINDOW_MS = attempts.HEDGE_WINDOW_MS + 2000.0
 
 
 def test_an_idle_gate_is_open() -> None:
@@ -27,7 +27,7 @@
 def test_hedges_without_a_completed_attempt_close_the_gate() -> None:
     gate = HedgeGate()
     assert hedge_if_open(gate, 0.0)
-    assert not hedge_if_open(gate, LATER)
+    assert not hedge_if_open(gate, LATER_MS)
 
 
 def test_the_hedge_ratio_is_computed_at_each_decision() -> None:
@@ -46,17 +46,17 @@
     assert hedge_if_open(gate, 0.0)
     for _ in range(completed_attempts):
         gate.on_attempt_completed(10.0)
-    assert hedge_if_open(gate, LATER) is allowed
+    assert hedge_if_open(gate, LATER_MS) is allowed
 
 
 def test_completed_attempts_reopen_the_gate() -> None:
     gate = HedgeGate()
     for _ in range(20):
         hedge_if_open(gate, 0.0)
-    assert not hedge_if_open(gate, LATER)
+    assert not hedge_if_open(gate, LATER_MS)
     for _ in range(400):
-        gate.on_attempt_completed(LATER + 1)
-    assert hedge_if_open(gate, 2 * LATER)
+        gate.on_attempt_completed(LATER_MS + 1)
+    assert hedge_if_open(gate, 2 * LATER_MS)
 
 
 @pytest.mark.parametrize(("completed_attempts", "allowed"), [(5, False), (500, True)])
@@ -65,7 +65,7 @@
     assert hedge_if_open(gate, 0.0)
     for _ in range(completed_attempts):
         gate.on_attempt_completed(0.0)
-    assert hedge_if_open(gate, AFTER_WINDOW) is allowed
+    assert hedge_if_open(gate, AFTER_WINDOW_MS) is allowed
 
 
 def test_hedges_outside_the_window_do_not_count() -> None:
@@ -73,8 +73,8 @@
     for _ in range(20):
         hedge_if_open(gate, 0.0)
     for _ in range(5):
-        gate.on_attempt_completed(AFTER_WINDOW)
-    assert hedge_if_open(gate, AFTER_WINDOW)
+        gate.on_attempt_completed(AFTER_WINDOW_MS)
+    assert hedge_if_open(gate, AFTER_WINDOW_MS)
 
 
 def test_an_unused_gate_retains_only_its_window() -> None:
--- a/tests/balancing/test_outlier_detection.py
+++ b/tests/balancing/test_outlier_detection.py
@@ -26,15 +26,15 @@
 class SimulatedEndpoints:
     """Servers that fail a share of their requests; each gets one every `gap_ms` on average."""
 
-    def __init__(self, seed: int, failing: list[float]) -> None:
+    def __init__(self, seed: int, failure_rates: list[float]) -> None:
         self.random, self.now = Random(seed), 0.0
-        self.failing = failing
+        self.failure_rates = failure_rates
         self.detector = OutlierDetector(Random(seed + 1))
-        self.endpoints = [EndpointHealth() for _ in failing]
+        self.endpoints = [EndpointHealth() for _ in failure_rates]
 
     def call(self, number: int, outcome: Outcome | None = None, blame: float | None = None) -> None:
         if outcome is None:
-            outcome = Outcome.RESET if self.random.random() < self.failing[number] else Outcome.OK
+            outcome = Outcome.RESET if self.random.random() < self.failure_rates[number] else Outcome.OK
         self.endpoints[number].on_sent(USUAL_LATENCY_MS, self.now)
         self.detector.on_attempt_ended(
             self.endpoints[number], outcome, USUAL_LATENCY_MS, USUAL_LATENCY_MS, self.now, blame=blame
@@ -83,7 +83,7 @@
     for seed in range(20):
         simulated = SimulatedEndpoints(seed, [others_share] * 12)
         simulated.run(20_000.0, 500.0)
-        simulated.failing[0] = share
+        simulated.failure_rates[0] = share
         simulated.endpoints[0].add_evidence(-1.0, 0.01, simulated.now)
         count = 0
         while not simulated.is_excluded(0) and count < 100:
@@ -148,17 +148,17 @@
         simulated.call(0, Outcome.TIMEOUT)
         simulated.call(1)
     assert simulated.is_excluded(0)  # no trial immediately after the ejection
-    on_sent: list[float] = []
+    trial_times: list[float] = []
     while simulated.now < 200_000.0:
         simulated.now += 20.0
         for number in range(1, 6):
             simulated.call(number)
         if not simulated.is_excluded(0):
             assert simulated.is_excluded(0, may_be_trial=False)
-            on_sent.append(simulated.now)
+            trial_times.append(simulated.now)
             simulated.detector.on_sent(simulated.endpoints[0], simulated.now)
             simulated.call(0, Outcome.TIMEOUT)
-    gaps = [after - before for before, after in pairwise(on_sent)]
+    gaps = [after - before for before, after in pairwise(trial_times)]
     longest = max(MAX_EJECTION_MS, balancers_per_endpoint * TRIAL_SPACING_MS)
     assert min(gaps) >= BASE_EJECTION_MS / 2 and max(gaps) <= 1.5 * longest + 20.0
     assert math.fsum(gaps[-5:]) / 5 >= 0.6 * longest and len(set(gaps)) > 2
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -48,9 +48,9 @@
     (first,) = sent_to(checker.request("r", KEYED_INDEX))
     assert sent_to(checker.end_attempt("r", 0, Outcome.ERROR)) == [first]
     checker.end_attempt("r", 1, Outcome.OK)
-    (full,) = sent_to(checker.request("f", KEYED_INDEX))
+    (rejecting,) = sent_to(checker.request("f", KEYED_INDEX))
     others = {name for i in range(2) for name in sent_to(checker.end_attempt("f", i, Outcome.REJECTED))}
-    assert len(others) == 2 and full not in others
+    assert len(others) == 2 and rejecting not in others
     # A server that rejected the request is not tried again.
     assert not sent_to(checker.end_attempt("f", 2, Outcome.REJECTED))
 
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -58,8 +58,8 @@
 def apply_steps(checker: RuleChecker, steps: list[tuple[str, object, object]]) -> None:
     entries = list(endpoints(9))
     checker.list_servers(*entries, kind=EndpointListKind.CACHED)
-    for number, (what, first, second) in enumerate(steps):
-        match what, first, second:
+    for number, (step, first, second) in enumerate(steps):
+        match step, first, second:
             case "request", int(class_index), float(remaining_ms):
                 checker.request(f"r{number}", class_index, remaining_ms)
             case "end", int(choice), Outcome() as outcome:
--- a/tests/balancing/test_simulator_adapter.py
+++ b/tests/balancing/test_simulator_adapter.py
@@ -122,28 +122,28 @@
     first, timer = orders(run(*opened))
     assert first[:2] == ["route", "00aa"] and first[2].startswith("backend-")
     assert timer[0] == "set_timer"
-    late = batch(timer[2] + 1.0, p0=[["tick_due", timer[1]], ["tick_due", 10**9]])
-    copy = orders(run(*opened, late))[-1]
-    assert copy[:2] == ["route", "00aa"] and copy[2] != first[2]
-    won = batch(
+    timer_fired = batch(timer[2] + 1.0, p0=[["tick_due", timer[1]], ["tick_due", 10**9]])
+    hedge = orders(run(*opened, timer_fired))[-1]
+    assert hedge[:2] == ["route", "00aa"] and hedge[2] != first[2]
+    hedge_answered = batch(
         timer[2] + 9.0,
-        p0=[["outcome", "00aa", copy[2], 1, "completed", True, 8.0, {"load_share": 0.5}, "more"]],
+        p0=[["outcome", "00aa", hedge[2], 1, "completed", True, 8.0, {"load_share": 0.5}, "more"]],
     )
-    assert orders(run(*opened, late, won))[-1] == ["cancel", "00aa", 0]
+    assert orders(run(*opened, timer_fired, hedge_answered))[-1] == ["cancel", "00aa", 0]
 
 
 @pytest.mark.parametrize(("lane", "answer"), [(0, "bounce"), (1, "respond_error"), (2, "respond_error")])
 def test_a_request_past_its_deadline_ends_as_its_class_allows(lane: int, answer: str) -> None:
     opened = [batch(0.0, p0=opening()), batch(1.0, p0=[demand("00aa", lane)])]
     server = orders(run(*opened))[0][2]
-    over = batch(2001.0, p0=[["outcome", "00aa", server, 0, "overdue", False, 2000.0, None]])
-    assert orders(run(*opened, over))[-1][0] == answer
+    timed_out = batch(2001.0, p0=[["outcome", "00aa", server, 0, "overdue", False, 2000.0, None]])
+    assert orders(run(*opened, timed_out))[-1][0] == answer
 
 
 def test_idle_connections_are_closed() -> None:
-    one = ["census", 0, [[0, 1.0, 0, 0, "on", "backend-0", None]]]
+    single_server = ["census", 0, [[0, 1.0, 0, 0, "on", "backend-0", None]]]
     ok, lost = ("completed", True), ("severed", False)
-    lines = [batch(0.0, p0=[["open_instance", 7, INFO], one, ["membership", "Persisted", 1, 0]])]
+    lines = [batch(0.0, p0=[["open_instance", 7, INFO], single_server, ["membership", "Persisted", 1, 0]])]
     for request, at, (outcome, final) in [("aa", 10.0, ok), ("bb", 3000.0, lost), ("cc", 3100.0, ok)]:
         lines.append(batch(at, p0=[demand(request, 2)]))
         lines.append(batch(at + 2.0, p0=[["outcome", request, "backend-0", 0, outcome, final, 2.0, None]]))
@@ -263,7 +263,7 @@
     assert [order[0] for order in orders(result)] == ["give_in"]
 
 
-def day(*instances: int) -> list[Any]:
+def make_batches(*instances: int) -> list[Any]:
     names = [f"p{i}" for i in instances]
     lines = [batch(0.0, **{name: opening(int(name[1:])) for name in names})]
     lines += [batch(1.0 + i, **{name: [demand(f"{name}{i:03}", i % 3)] for name in names}) for i in range(40)]
@@ -271,10 +271,10 @@
 
 
 def test_results_do_not_depend_on_hash_seeds_or_process_distribution() -> None:
-    together = run(*day(0, 1, 2), hash_seed="1")
-    assert together.stdout == run(*day(0, 1, 2), hash_seed="2").stdout
+    together = run(*make_batches(0, 1, 2), hash_seed="1")
+    assert together.stdout == run(*make_batches(0, 1, 2), hash_seed="2").stdout
     for instance in range(3):
-        assert orders(together, instance) == orders(run(*day(instance)), instance) != []
+        assert orders(together, instance) == orders(run(*make_batches(instance)), instance) != []
 
 
 def test_null_settings_are_read_as_absent() -> None:
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -22,13 +22,13 @@
 
 
 def count_slow_start_sends(
-    checker: RuleChecker, name: str, count: int, every_ms: float, class_index: int
+    checker: RuleChecker, name: str, count: int, interval_ms: float, class_index: int
 ) -> int:
     sends = 0
     for number in range(count):
         actions = checker.request(f"c{number}", class_index, remaining_ms=1000.0)
         sends += sent_to(actions).count(name)
-        checker.advance(every_ms)
+        checker.advance(interval_ms)
         for attempt in checker.requests[f"c{number}"].outstanding():
             sends += sent_to(checker.end_attempt(f"c{number}", attempt, Outcome.REJECTED)).count(name)
             break
--- a/tests/balancing/test_zone_preference.py
+++ b/tests/balancing/test_zone_preference.py
@@ -135,12 +135,12 @@
     running, starting = (remote, local) if local_zone_is_starting else (local, remote)
     checker = make_checker(*running, settings=settings)
     before = serve(checker, 300)  # one in 10 ms, for 3 s
-    one, *_ = (replace(server, started_at=checker.now) for server in starting)
+    starting_server, *_ = (replace(server, started_at=checker.now) for server in starting)
     running = running if local_zone_is_starting else running[:1]  # so few that other zones are needed
-    checker.list_servers(one, *running)
+    checker.list_servers(starting_server, *running)
     after = serve(checker, 300, tag="b")
     max_sends = max(before.values()) * 0.175 * settings.overload_factor * slow_start.OVERLOAD_MARGIN
-    assert after[one.name] <= 2.0 + max_sends
+    assert after[starting_server.name] <= 2.0 + max_sends
 
 
 def test_a_server_whose_zone_is_corrected_loses_the_local_preference() -> None:
