--- a/cometdoor/balancing/attempts.py
+++ b/cometdoor/balancing/attempts.py
@@ -126,7 +126,7 @@
 class IdleConnectionGuard:
     """Detects connections that a middlebox has silently dropped while they were idle.
 
-    A request sent on one is lost, and an unsafe one can't be retried: they are closed before they are used.
+    A request sent on one is lost, and an unsafe one can't be retried, so stale ones are closed before use.
     The sign is a loss after less than a quarter of the time for which the connection had been idle. A server
     that crashes rarely causes the same pattern, and a false alarm costs only a few handshakes.
     """
