--- a/cometdoor/configuration/document.py
+++ b/cometdoor/configuration/document.py
@@ -92,7 +92,7 @@
     if len(json_object) < len(pairs):
         names = [name for name, _ in pairs]
         duplicate = next(name for name in names if names.count(name) > 1)
-        raise ValueError(f"{duplicate!r} is a duplicate key of one object")
+        raise ValueError(f"{duplicate!r} appears twice in one table")
     return json_object
 
 
@@ -108,7 +108,7 @@
         content = json.loads(body.decode(), object_pairs_hook=_reject_duplicates)
     except (ValueError, RecursionError) as error:
         raise SettingsError(
-            [SettingsProblem(DOCUMENT_NAME, "", f"it can't be decoded as JSON: {error}")]
+            [SettingsProblem(DOCUMENT_NAME, "", f"it can't be read whole: {error}")]
         ) from error
     return convert(content, Document, DOCUMENT_NAME, _check)
 
@@ -119,32 +119,26 @@
     services: set[str] = set()
     for index, service in enumerate(document.services):
         if not service.name:
-            yield f"services.{index}.name", "must not be empty"
+            yield f"services.{index}.name", "it is empty"
         elif service.name in services:
-            yield f"services.{index}.name", f"{service.name} is already the name of another service"
+            yield f"services.{index}.name", f"{service.name} is another service's too"
         services.add(service.name)
         # The inbound proxy uses both values without further checks: in the request line of health checks, and
         # as the size of a connection pool.
         if not PATH_PATTERN.fullmatch(service.health_path):
-            yield (
-                f"services.{index}.health-path",
-                f"{service.health_path!r} is not a path of visible ASCII characters that starts with a slash",
-            )
+            yield f"services.{index}.health-path", f"{service.health_path!r} is no path"
         if service.max_connections < 1:
             yield f"services.{index}.max-connections", f"{service.max_connections} is not at least 1"
     seen_prefixes: set[tuple[str, str]] = set()
     for host_index, host in enumerate(document.hosts):
         if not host.hostname.strip():
-            yield f"hosts.{host_index}.hostname", "must not be empty"
+            yield f"hosts.{host_index}.hostname", "it is empty"
         for index, route in enumerate(host.host_routes):
             path = f"hosts.{host_index}.host-routes.{index}"
             yield from _check_route(route, path, services)
             prefix_key = host.hostname.lower(), route.path_prefix
             if prefix_key in seen_prefixes:
-                yield (
-                    f"{path}.path-prefix",
-                    f"{route.path_prefix} of {host.hostname} is already the prefix of another route",
-                )
+                yield f"{path}.path-prefix", f"{route.path_prefix} of {host.hostname} is another route's too"
             seen_prefixes.add(prefix_key)
 
 
@@ -159,11 +153,11 @@
     if route.max_attempts < 1:
         yield f"{path}.max-attempts", f"{route.max_attempts} is not at least 1"
     if route.service is None and route.traffic_split is None:
-        yield f"{path}.service", "either service or traffic-split is required"
+        yield f"{path}.service", "missing, and there is no traffic-split either"
     for weighted_service in route.weighted_services():
         if weighted_service.service not in services:
-            yield f"{path}.service", f"{weighted_service.service!r} is not a service of this configuration"
+            yield f"{path}.service", f"{weighted_service.service!r} is no service of this configuration"
         if weighted_service.weight < 0:
             yield f"{path}.traffic-split", f"the weight {weighted_service.weight} is below 0"
     if sum(weighted_service.weight for weighted_service in route.weighted_services()) <= 0:
-        yield f"{path}.traffic-split", "the sum of the weights is not above 0"
+        yield f"{path}.traffic-split", "the weights sum to 0"
--- a/cometdoor/control/admin_api.py
+++ b/cometdoor/control/admin_api.py
@@ -55,11 +55,9 @@
     if result.accepted:
         return ReplaceResponse(200)
     if result.uncertain:
-        return ReplaceResponse(503, f"revision {change.revision} is too old to tell whether it was accepted")
+        return ReplaceResponse(503, f"version {change.revision} is too old to tell whether it was accepted")
     if change.base_revision == result.revision and change.revision <= result.revision:
-        return ReplaceResponse(
-            400, f"revision: {change.revision} is not above the one in force, {result.revision}"
-        )
+        return ReplaceResponse(400, f"revision: {change.revision} is not above {result.revision}")
     return ReplaceResponse(412, f"version {result.revision} is in force, not {change.base_revision}")
 
 
@@ -86,11 +84,9 @@
                     connection, request, partial(describe_log, self._replica_server, int(after))
                 )
             case (_, ("Configuration.Replace" | "Configuration.Describe" | "Core.Describe",)):
-                respond_error(
-                    405, "method not allowed: Configuration.Replace needs POST, the others GET", connection
-                )
+                respond_error(405, "another method is needed", connection)
             case _:
-                respond_error(404, "the admin API has no such call", connection)
+                respond_error(404, "there is no such call", connection)
 
     def on_client_disconnected(self, connection: ClientConnection, request: ClientRequest) -> None:
         """Do nothing: a proposed change stays proposed."""
--- a/cometdoor/dataplane/outbound_request.py
+++ b/cometdoor/dataplane/outbound_request.py
@@ -52,13 +52,13 @@
         if not fields.get(b"host"):
             raise BadRequestError(400, "Host is missing")
         if not request.target.startswith(b"/"):
-            raise BadRequestError(400, "the request target must start with /")
+            raise BadRequestError(400, "the target is no path")
         try:
             request.remaining_ms = (
                 parse_decimal(fields[DEADLINE_HEADER]) if DEADLINE_HEADER in fields else 0.0
             )
         except ValueError:
-            raise BadRequestError(400, "Cometdoor-Deadline-Ms is not a number") from None
+            raise BadRequestError(400, "Cometdoor-Deadline-Ms is no number") from None
         request.service = None
         request.route = (
             fields[b"host"].decode("latin-1"),
--- a/cometdoor/host/address.py
+++ b/cometdoor/host/address.py
@@ -23,5 +23,5 @@
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not min_port <= int(port) < 65536:
-        raise ValueError(f"{text!r} is not a valid HOST:PORT address")
+        raise ValueError(f"{text!r} is no HOST:PORT")
     return host.strip("[]"), int(port)
--- a/cometdoor/host/dataclass_settings.py
+++ b/cometdoor/host/dataclass_settings.py
@@ -21,10 +21,10 @@
 TYPE_DESCRIPTIONS: dict[type, str] = {
     dict: "a table",
     list: "a list",
-    str: "a string",
-    bool: "a boolean",
-    type(None): "null",
-    int: "an integer",
+    str: "a text",
+    bool: "a truth value",
+    type(None): "nothing",
+    int: "a whole number",
     float: "a number",
 }
 
@@ -115,13 +115,13 @@
                 self._add_mismatch(path, "a finite number", value)
         elif expected_type is int:
             if isinstance(value, bool) or not isinstance(value, int):
-                self._add_mismatch(path, "an integer", value)
+                self._add_mismatch(path, "a whole number", value)
         elif (
             isinstance(expected_type, type)
             and expected_type is not object
             and not isinstance(value, expected_type)
         ):
-            self._add_mismatch(path, "a string" if expected_type is str else expected_type.__name__, value)
+            self._add_mismatch(path, "a text" if expected_type is str else expected_type.__name__, value)
 
     def _check_dataclass(self, value: object, expected_type: type, path: str) -> None:
         if not self.is_table(value, path):
@@ -135,4 +135,4 @@
                 self.problems.append((join_path(path, key), "missing"))
 
     def _add_mismatch(self, path: str, expected: str, value: object) -> None:
-        self.problems.append((path, f"{expected} is expected, not {self.describe(value)}"))
+        self.problems.append((path, f"{expected} is needed, not {self.describe(value)}"))
--- a/cometdoor/host/settings_validation.py
+++ b/cometdoor/host/settings_validation.py
@@ -111,7 +111,7 @@
     def check_list(self, value: object, item_type: Any, path: str) -> None:
         """Add the problems of a value that must be a list."""
         if not isinstance(value, list):
-            self.problems.append((path, f"a list is expected, not {self.describe(value)}"))
+            self.problems.append((path, f"a list is needed, not {self.describe(value)}"))
             return
         for index, item in enumerate(value):
             self.check(item, item_type, f"{path}.{index}")
@@ -126,7 +126,7 @@
         """Return whether a value is a table; add a problem if it is not."""
         if isinstance(value, dict):
             return True
-        self.problems.append((path, f"a table is expected, not {self.describe(value)}"))
+        self.problems.append((path, f"a table is needed, not {self.describe(value)}"))
         return False
 
 
--- a/cometdoor/http/client_connection.py
+++ b/cometdoor/http/client_connection.py
@@ -132,7 +132,7 @@
                 self._is_in_request
                 and self._message_bytes - self._body_bytes > self._owner.limits.max_head_bytes
             ):
-                self._reject_input(BadRequestError(431, "the head is larger than the limit"))
+                self._reject_input(BadRequestError(431, "the head is too large"))
 
     def pause_writing(self) -> None:
         """Start no further requests, so that responses that the client does not read don't accumulate."""
@@ -197,7 +197,7 @@
         """Store a chunk of the body, up to the size limit."""
         self._body_bytes += len(body)
         if self._body_bytes > self._owner.limits.max_body_bytes:
-            raise BadRequestError(413, "the body is larger than the limit")
+            raise BadRequestError(413, "the body is too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
@@ -211,7 +211,7 @@
         request.arrived_at = time.monotonic()
         self._pipelined.append(request)
         if len(self._pipelined) > MAX_REQUESTS_PER_READ:
-            raise BadRequestError(400, "too many pipelined requests at once")
+            raise BadRequestError(400, "too many requests at once")
 
     # --- serving requests ---
 
@@ -357,7 +357,7 @@
         if self.is_unused:
             self.abort()
             return
-        self._reject_input(BadRequestError(408, "the request was not complete in time"))
+        self._reject_input(BadRequestError(408, "the request did not come in time"))
         self._handle_next()
 
     def is_idle(self) -> bool:
--- a/cometdoor/http/messages.py
+++ b/cometdoor/http/messages.py
@@ -186,11 +186,11 @@
     """
     content_length, transfer_encoding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
     if content_length is not None and transfer_encoding is not None:
-        raise BadRequestError(400, "the request has both Content-Length and Transfer-Encoding")
+        raise BadRequestError(400, "both Content-Length and Transfer-Encoding")
     if transfer_encoding is not None and transfer_encoding.strip().lower() != b"chunked":
-        raise BadRequestError(400, "Transfer-Encoding is not chunked")
+        raise BadRequestError(400, "an unknown Transfer-Encoding")
     if content_length is not None and (len(content_length) > 9 or int(content_length) > max_body_bytes):
-        raise BadRequestError(413, "the body is larger than the limit")
+        raise BadRequestError(413, "the body is too large")
 
 
 def validate_headers(
@@ -226,9 +226,9 @@
         if name in headers and name in single_value:
             raise BadRequestError(400, f"{name.decode()} is repeated")
         if b"_" in name and name.replace(b"_", b"-") in FRAMING_HEADERS:
-            raise BadRequestError(400, f"{name.decode()} has an underscore instead of a hyphen")
+            raise BadRequestError(400, f"{name.decode()} is misspelt")
         headers[name] = value
     check_framing(headers, max_body_bytes)
     if b"connection" in headers and connection_options(request.headers) & single_value:
-        raise BadRequestError(400, "Connection names a header that must be forwarded")
+        raise BadRequestError(400, "Connection names what must go on")
     return headers
--- a/cometdoor/http/platform_requests.py
+++ b/cometdoor/http/platform_requests.py
@@ -38,14 +38,14 @@
         path_class = request.target.split(b"?", 1)[0].split(b"/")[1:2]
         class_name = headers.get(b"x-qos") or (path_class[0] if path_class else b"")
         if path_class != [class_name]:
-            raise BadRequestError(400, "the path and X-Qos name different classes")
+            raise BadRequestError(400, "the path names another class than X-Qos")
         class_index = self._classes.get(class_name)
         if class_index is None:
             raise BadRequestError(404, "unknown class")
         request.class_index = class_index
         cls = self._request_classes[class_index]
         if request.method != (b"GET" if cls.effect is Effect.SAFE else b"POST"):
-            raise BadRequestError(405, "the class requires another method")
+            raise BadRequestError(405, "the class has another method")
         if cls.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
             raise BadRequestError(400, "Idempotency-Key is missing")
         request.trace = headers.get(b"x-trace-id", b"")
@@ -56,9 +56,7 @@
             size_hint = headers.get(b"x-size-hint")
             request.cost_ms = parse_decimal(size_hint) / 1000.0 if size_hint else None
         except (KeyError, ValueError):
-            raise BadRequestError(
-                400, "X-Expires-In is missing, or X-Expires-In or X-Size-Hint is not a decimal number"
-            ) from None
+            raise BadRequestError(400, "X-Expires-In or X-Size-Hint is missing or no number") from None
         if request.remaining_ms <= 0:
             raise BadRequestError(400, "X-Expires-In is not above 0")
         request.tenant = self._tenants.get(headers.get(b"x-customer", b""), 0)
--- a/cometdoor/http/service.py
+++ b/cometdoor/http/service.py
@@ -180,7 +180,7 @@
             connection.on_rejected(self._host.suggested_retry_after_ms(request))
         elif request.trace in self._open_traces:
             # A server would treat the request as a hedged attempt of the other client's request.
-            connection.respond(409, [], b"an open request has the same X-Trace-Id")
+            connection.respond(409, [], b"X-Trace-Id is that of an open request")
         elif self._client_quota is not None and not self._client_quota.acquire():
             connection.on_rejected(self._host.suggested_retry_after_ms(request))
         else:
