--- a/benchmarks/detector.py
+++ b/benchmarks/detector.py
@@ -59,7 +59,7 @@
     ):
         fault_run = failing_servers.FaultSimulation(seed, case)
         fault_run.play()
-    return fault_run.served("unsafe")
+    return fault_run.served_share("unsafe")
 
 
 def found_ms(job: tuple[int, str]) -> list[float]:
@@ -67,7 +67,7 @@
     fault_run = failing_servers.FaultSimulation(*job)
     fault_run.play()
     first = dict.fromkeys({proxy for _, proxy, name in fault_run.sends if name == "s0"}, math.inf)
-    for since, proxy, name in fault_run.alarms:
+    for since, proxy, name in fault_run.ejections:
         if name == "s0" and since >= 0.0:
             first[proxy] = min(first[proxy], 1000.0 * since)
     return [*first.values()]
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -37,7 +37,7 @@
 def measure(examples: int = QUICK_EXAMPLES) -> Figures:
     """Play everything, hop by hop; print every violation."""
     results = play()
-    for text in results.wrong:
+    for text in results.violations:
         print_progress(f"WRONG: {text}")
     drawn = broken = 0
     for hop in HOPS:
@@ -51,7 +51,7 @@
         text = find_violation(name)
         found += bool(text)
         print_progress(f"planted: {name}: {text or 'NOT FOUND'}")
-    return Figures(results.cells, results.impossible, results.right, drawn, broken, len(DEFECTS), found)
+    return Figures(results.cells, results.impossible, results.passed, drawn, broken, len(DEFECTS), found)
 
 
 def main() -> None:
--- a/simulation/claim_protocols.py
+++ b/simulation/claim_protocols.py
@@ -48,10 +48,10 @@
         self.latencies_s: list[float] = []
         self.failed_at = -1.0  # when the first member, the leader, was lost; -1: not yet
 
-    def send(self, one: int, other: int, callback: Callable[[], None]) -> None:
+    def send(self, source: int, other: int, callback: Callable[[], None]) -> None:
         """Call back after the delay between two zones, given by number; member n is in zone n."""
         delay_s = (
-            NETWORK_DELAY_S * self.rng.uniform(0.9, 1.3) if one % 3 != other % 3 else NETWORK_DELAY_S / 10
+            NETWORK_DELAY_S * self.rng.uniform(0.9, 1.3) if source % 3 != other % 3 else NETWORK_DELAY_S / 10
         )
         self.call_later(delay_s, callback)
 
@@ -74,14 +74,14 @@
         member.is_syncing = True
         member.syncs += 1
 
-        def done() -> None:
+        def on_synced() -> None:
             member.is_syncing = False
             for callback in batch:
                 callback()
             if member.waiting_writes:
                 self._sync(member)
 
-        self.call_later(DISK_SYNC_S * self.rng.uniform(1.0, 1.5), done)
+        self.call_later(DISK_SYNC_S * self.rng.uniform(1.0, 1.5), on_synced)
 
     def record_latency(self, started_at: float, zone: int, member: Member) -> None:
         self.send(member.index, zone, lambda: self.latencies_s.append(self.now - started_at))
@@ -90,7 +90,7 @@
 ClaimProtocol = Callable[[SimulatedReplicas, int, int], None]  # replicas, zone of the proxy, key
 
 
-def order_through(
+def order_claim(
     replicas: SimulatedReplicas, zone: int, first: Member, others: list[Member], started_at: float
 ) -> None:
     """Order a claim at `first`, which replicates it to `others`; it is done when two disks have it."""
@@ -127,9 +127,9 @@
     if not leader.is_up:
         delay_s = max(replicas.failed_at + ELECTION_DURATION_S - replicas.now, 0.0)
         second, third = replicas.members[1], replicas.members[2]
-        replicas.call_later(delay_s, order_through, replicas, zone, second, [third], replicas.now)
+        replicas.call_later(delay_s, order_claim, replicas, zone, second, [third], replicas.now)
         return
-    order_through(replicas, zone, leader, replicas.members[1:], replicas.now)
+    order_claim(replicas, zone, leader, replicas.members[1:], replicas.now)
 
 
 def via_key_holders(replicas: SimulatedReplicas, zone: int, key: int) -> None:
@@ -138,14 +138,14 @@
     others = [member for member in replicas.members if member is not holder]
     if not holder.is_up:
         delay_s = max(replicas.failed_at + HOLDER_LEASE_S - replicas.now, 0.0)
-        replicas.call_later(delay_s, order_through, replicas, zone, others[0], others[1:], replicas.now)
+        replicas.call_later(delay_s, order_claim, replicas, zone, others[0], others[1:], replicas.now)
         return
-    order_through(replicas, zone, holder, others, replicas.now)
+    order_claim(replicas, zone, holder, others, replicas.now)
 
 
 def via_registers(replicas: SimulatedReplicas, zone: int, key: int) -> None:
     started_at = replicas.now
-    up = [member for member in replicas.members if member.is_up]
+    live_members = [member for member in replicas.members if member.is_up]
 
     def run_round(quorum: int, on_quorum: Callable[[Member], None]) -> None:
         acknowledgements = 0
@@ -156,7 +156,7 @@
             if acknowledgements == quorum:
                 on_quorum(member)
 
-        for member in up:
+        for member in live_members:
             replicas.send(
                 zone,
                 member.index,
@@ -172,7 +172,7 @@
         replicas.latencies_s.append(replicas.now - started_at)
 
     # One round if all three members accept it at once; two if one is down or another proxy claims the key.
-    if len(up) == MEMBER_COUNT and replicas.rng.random() >= 0.02:
+    if len(live_members) == MEMBER_COUNT and replicas.rng.random() >= 0.02:
         run_round(MEMBER_COUNT, on_accepted)
     else:
         run_round(2, lambda member: run_round(2, on_accepted))
--- a/simulation/clients.py
+++ b/simulation/clients.py
@@ -50,9 +50,9 @@
     cost_ms: float | None = None
     is_retry: bool = False
 
-    def on_response(self, answer: Reply) -> None:
+    def on_response(self, reply: Reply) -> None:
         """End with the server's response."""
-        self._end(answer.status)
+        self._end(reply.status)
 
     def on_rejected(self, retry_after_ms: float) -> None:
         """End with the host's own 503."""
@@ -157,8 +157,8 @@
 
     def check_server(self, server: str, address: Address, request: SimulatedRequest) -> None:
         """Raise InvariantError unless the server is ready in the host's own list."""
-        known = self.servers_by_name.get(server)
-        if known is None or known.state is not EndpointState.READY:
+        endpoint = self.servers_by_name.get(server)
+        if endpoint is None or endpoint.state is not EndpointState.READY:
             raise InvariantError(f"{self.name} sends to {server}, which its list does not hold ready")
 
     def close_idle(self, server: str) -> None:
--- a/simulation/event_loop.py
+++ b/simulation/event_loop.py
@@ -187,12 +187,12 @@
     async def connect_accepted_socket(  # type: ignore[override]
         self,
         factory: Any,
-        raw: Any,
+        sock: Any,
         **options: Any,
     ) -> Any:
         protocol = factory()
-        raw.transport.attach(protocol)
-        return raw.transport, protocol
+        sock.transport.attach(protocol)
+        return sock.transport, protocol
 
     # --- processes ---
 
--- a/simulation/exchange/backend.py
+++ b/simulation/exchange/backend.py
@@ -77,8 +77,8 @@
         serialize_response(OWN_ID, 500, ("Connection", "close")),
     ],
     BackendExchangeEvent.RESPONSE_WITH_EXTRA_BYTES: [
-        serialize_response(OWN_ID) + more
-        for more in (
+        serialize_response(OWN_ID) + trailing_bytes
+        for trailing_bytes in (
             b"\r\n",
             b"\n",
             b"H",
@@ -112,7 +112,7 @@
     ],
 }
 EXTRA_BYTES = [serialize_response(OTHER_ID), serialize_rejection(OTHER_ID), serialize_head(103), b"\r\n"]
-FIRST_BYTES = len(b"HTTP/1.1 ")
+STATUS_LINE_PREFIX_BYTES = len(b"HTTP/1.1 ")
 
 
 class FakePeerConnection:
@@ -139,8 +139,8 @@
 
     def send(self, id: str, is_not_idempotent: bool = False, body: bytes = b"") -> None:
         self._last_call += 1
-        run = forward_request(id, body=body, is_not_idempotent=is_not_idempotent)
-        self.inbound_proxy.accept(run, cast(PeerConnection, self.peer_connection), self._last_call)
+        request = forward_request(id, body=body, is_not_idempotent=is_not_idempotent)
+        self.inbound_proxy.accept(request, cast(PeerConnection, self.peer_connection), self._last_call)
         self.loop.wait(0.001)
 
     def transport(self) -> ScriptedTransport:
@@ -148,7 +148,7 @@
 
     # --- states ---
 
-    def reach(
+    def enter_state(
         self, state: BackendExchangeState, is_reused: bool, is_not_idempotent: bool, extra_bytes: bytes
     ) -> None:
         """`is_reused`: on a connection that has carried a response. `extra_bytes`: received before."""
@@ -159,7 +159,7 @@
             self.peer_connection.replies.clear()
         if state is BackendExchangeState.IDLE:
             return
-        self.loop.holds_connects = state is BackendExchangeState.CONNECTING
+        self.loop.delays_connects = state is BackendExchangeState.CONNECTING
         writable_bytes = 20 if state is BackendExchangeState.PARTIALLY_WRITTEN else UNLIMITED_BYTES
         fails_writes = state is BackendExchangeState.CONNECTED
         if is_reused:
@@ -173,10 +173,10 @@
 
     # --- events ---
 
-    def meet(self, state: BackendExchangeState, event: BackendExchangeEvent, data: bytes) -> None:
+    def apply_event(self, state: BackendExchangeState, event: BackendExchangeEvent, data: bytes) -> None:
         if state is BackendExchangeState.RECEIVING:
-            self.transport().feed((data or serialize_response(OWN_ID))[:FIRST_BYTES])
-            data = data[FIRST_BYTES:]
+            self.transport().feed((data or serialize_response(OWN_ID))[:STATUS_LINE_PREFIX_BYTES])
+            data = data[STATUS_LINE_PREFIX_BYTES:]
         if state is BackendExchangeState.CONNECTED:
             pass  # the write has already failed with it
         elif data:
@@ -217,17 +217,17 @@
         """Return the fate of the connection, by where the next request goes."""
         if self.inbound_proxy.in_flight_count():
             return ConnectionState.IN_USE
-        self.loop.holds_connects = False
+        self.loop.delays_connects = False
         self.loop.wait(0.1)
         transport = self.transport() if self.loop.transports else None
-        before, connects = bytes(transport.accepted) if transport else b"", len(self.loop.connects)
+        accepted_before, connects = bytes(transport.accepted) if transport else b"", len(self.loop.connects)
         self.send("next")
         if len(self.loop.connects) == connects:
             return ConnectionState.REUSABLE
         if transport is not None:
             expect(
                 (transport.is_closed, bytes(transport.accepted)),
-                (True, before),
+                (True, accepted_before),
                 "a closed connection carried more",
             )
         return ConnectionState.CLOSED
@@ -244,11 +244,13 @@
 def _check_reply(replies: list[Message], data: bytes) -> None:
     for reply in replies:
         if isinstance(reply, ForwardResponse):
-            expect(dict(reply.headers)[_id_name(reply)], OWN_ID.encode(), "the id of what was forwarded")
+            expect(
+                dict(reply.headers)[_id_header_name(reply)], OWN_ID.encode(), "the id of what was forwarded"
+            )
             expect(b" %d X" % reply.status in data, True, "the status of what was forwarded")
 
 
-def _id_name(reply: ForwardResponse) -> bytes:
+def _id_header_name(reply: ForwardResponse) -> bytes:
     return next(name for name, _ in reply.headers if name.lower() == b"cometdoor-attempt-id")
 
 
@@ -265,28 +267,30 @@
     extra_bytes_cases = EXTRA_BYTES if state is BackendExchangeState.AFTER_EXTRA_BYTES else [b""]
     for data, is_reused, extra_bytes in product(inputs, reuse_cases, extra_bytes_cases):
         with scripted_loop() as loop:
-            hop = BackendExchangePlayer(loop)
-            hop.reach(state, is_reused, event is BackendExchangeEvent.CANCELLED_NON_IDEMPOTENT, extra_bytes)
-            hop.meet(state, event, data)
+            player = BackendExchangePlayer(loop)
+            player.enter_state(
+                state, is_reused, event is BackendExchangeEvent.CANCELLED_NON_IDEMPOTENT, extra_bytes
+            )
+            player.apply_event(state, event, data)
             where = (
                 f"backend, {state.value}, {event.value}, {'reused' if is_reused else 'fresh'}, {data[:60]!r}"
             )
-            _check(hop, state, event, cell, data, where)
+            _check(player, state, event, cell, data, where)
 
 
 def _check(
-    hop: BackendExchangePlayer,
+    player: BackendExchangePlayer,
     state: BackendExchangeState,
     event: BackendExchangeEvent,
     cell: TableCell,
     data: bytes,
     where: str,
 ) -> None:
-    expect(hop.conclusion(event), cell.conclusion, where)
-    _check_reply(hop.peer_connection.replies, data)
-    expect(hop.connection(), cell.connection, where)
+    expect(player.conclusion(event), cell.conclusion, where)
+    _check_reply(player.peer_connection.replies, data)
+    expect(player.connection(), cell.connection, where)
     if cell.connection is ConnectionState.IN_USE:
-        hop.finish_exchange(state)
-        expect(hop.inbound_proxy.in_flight_count(), 0, f"{where}: then a response")
+        player.finish_exchange(state)
+        expect(player.inbound_proxy.in_flight_count(), 0, f"{where}: then a response")
         if event is not BackendExchangeEvent.CANCELLED_NON_IDEMPOTENT:
-            expect(hop.conclusion(event), Conclusion.EXECUTED, f"{where}: then a response")
+            expect(player.conclusion(event), Conclusion.EXECUTED, f"{where}: then a response")
--- a/simulation/exchange/client_requests.py
+++ b/simulation/exchange/client_requests.py
@@ -69,7 +69,7 @@
 
     # --- states ---
 
-    def reach(self, state: ClientRequestState) -> None:
+    def enter_state(self, state: ClientRequestState) -> None:
         match state:
             case ClientRequestState.NEW:
                 return
@@ -91,7 +91,7 @@
 
     # --- events ---
 
-    def meet(self, state: ClientRequestState, event: ClientRequestEvent, data: bytes) -> None:
+    def apply_event(self, state: ClientRequestState, event: ClientRequestEvent, data: bytes) -> None:
         received = request("own")[:40] if state is ClientRequestState.PARTIAL else b""
         match event:
             case ClientRequestEvent.PARTIAL_REQUEST:
@@ -145,7 +145,7 @@
             return Conclusion.NOT_EXECUTED if state is ClientRequestState.PARTIAL else Conclusion.PENDING
         return Conclusion.PENDING
 
-    def fate_of_next(self, state: ClientRequestState) -> ConnectionState:
+    def connection_state(self, state: ClientRequestState) -> ConnectionState:
         """Return the fate of the connection, by what it does with one more request."""
         connection = self.connection
         if connection.request is not None or (connection._is_in_request and not self.transport.is_closed):
@@ -161,28 +161,28 @@
 
     def finish_requests(self, event: ClientRequestEvent) -> None:
         """Respond to all pending requests; check that each gets one response, in order."""
-        answer_count = 0
+        response_count = 0
         while self.connection.request is not None:
             self.respond()
-            answer_count += 1
+            response_count += 1
         statuses = self.statuses()
         if event is ClientRequestEvent.MALFORMED_INPUT:
             expect(
                 (statuses, self.handler.accepted), ([200, 400], ["own"]), "what was answered and handed on"
             )
         else:
-            expect(statuses, [200] * answer_count, "answers in turn")
+            expect(statuses, [200] * response_count, "answers in turn")
 
 
 def play_client_request(state: ClientRequestState, event: ClientRequestEvent, cell: TableCell) -> None:
     """Play one cell. Raises ExchangeViolation."""
     for data in MALFORMED_INPUTS if event is ClientRequestEvent.MALFORMED_INPUT else [b""]:
         with scripted_loop() as loop:
-            hop = ClientRequestPlayer(loop)
-            hop.reach(state)
-            hop.meet(state, event, data)
+            player = ClientRequestPlayer(loop)
+            player.enter_state(state)
+            player.apply_event(state, event, data)
             where = f"client request, {state.value}, {event.value}, {data!r}"
-            expect(hop.conclusion(state, event), cell.conclusion, where)
-            expect(hop.fate_of_next(state), cell.connection, where)
+            expect(player.conclusion(state, event), cell.conclusion, where)
+            expect(player.connection_state(state), cell.connection, where)
             if cell.connection is ConnectionState.IN_USE:
-                hop.finish_requests(event)
+                player.finish_requests(event)
--- a/simulation/exchange/fuzz_backend.py
+++ b/simulation/exchange/fuzz_backend.py
@@ -49,7 +49,7 @@
 
 MAX_SENDS = 4  # attempts of one request
 TIMEOUT_MS = 400.0
-START = re.compile(rb"POST /(\d+) ")
+REQUEST_START = re.compile(rb"POST /(\d+) ")
 
 
 class ResponseForm(Enum):
@@ -109,7 +109,7 @@
     """The backend's end of one connection, with the truth about requests on it."""
 
     transport: ScriptedTransport
-    answers: list[bytes | None] = field(default_factory=list)  # responses by request; None: none yet
+    responses: list[bytes | None] = field(default_factory=list)  # responses by request; None: none yet
     executed: list[bool] = field(default_factory=list)
     sent_responses: list[bytes] = field(default_factory=list)  # complete ones, in order
     has_truncated_response = False
@@ -117,9 +117,9 @@
 
     def ids(self) -> list[str]:
         """Return the ids of the requests that have begun; ids are numbers, in the path."""
-        ids = [match.decode() for match in START.findall(bytes(self.transport.accepted))]
-        while len(self.answers) < len(ids):
-            self.answers.append(None)
+        ids = [match.decode() for match in REQUEST_START.findall(bytes(self.transport.accepted))]
+        while len(self.responses) < len(ids):
+            self.responses.append(None)
             self.executed.append(True)
         return ids
 
@@ -142,7 +142,7 @@
 
     def respond(self, number: int, message: Message) -> None:
         self.cancel_callbacks.pop(number, None)
-        self._run.replied(self._id, message)
+        self._run.on_reply(self._id, message)
 
 
 class FuzzRun:
@@ -177,7 +177,7 @@
         self.inbound_proxy.accept(run, cast(PeerConnection, peer_connection), self._serial)
         self.settle()
 
-    def replied(self, id: str, message: Message) -> None:
+    def on_reply(self, id: str, message: Message) -> None:
         if isinstance(message, ForwardResponse):
             headers = dict(message.headers)
             if headers.get(b"Cometdoor-Attempt-Id") != id.encode():
@@ -203,8 +203,8 @@
         return sum(
             executed
             for peer in self.peers
-            for step_, executed in zip(peer.ids(), peer.executed, strict=False)
-            if step_ == id
+            for entry, executed in zip(peer.ids(), peer.executed, strict=False)
+            if entry == id
         )
 
     def settle(self) -> None:
@@ -244,9 +244,9 @@
                     else (0, None)
                 )
                 if peer_connection is not None and (
-                    stop := peer_connection.cancel_callbacks.pop(number, None)
+                    cancel := peer_connection.cancel_callbacks.pop(number, None)
                 ):
-                    stop()  # type: ignore[operator]
+                    cancel()  # type: ignore[operator]
         self.settle()
         to_retry, self.to_retry = self.to_retry, []
         for id in to_retry:
@@ -257,16 +257,16 @@
     def _peer(self, number: int) -> BackendPeer | None:
         """Return a connection by number: those with a pending request first, the newest of them foremost."""
         open_peers = [peer for peer in reversed(self.peers) if not peer.transport.is_closed]
-        open_peers.sort(key=lambda peer: not (peer.ids() and peer.answers[-1] is None))
+        open_peers.sort(key=lambda peer: not (peer.ids() and peer.responses[-1] is None))
         return open_peers[number % len(open_peers)] if open_peers else None
 
     def _send_bytes(self, peer: BackendPeer, step: SendBytes) -> None:
-        was_awaited = bool(peer.ids()) and peer.answers[-1] is None
+        was_awaited = bool(peer.ids()) and peer.responses[-1] is None
         data = b"".join(self._bytes_of(peer, form, step) for form in step.forms)
         sent_responses = data[: len(data) * step.sixteenths_sent // 16]
         if not sent_responses:
             return
-        is_own = was_awaited and sent_responses == peer.answers[-1] and not step.closes
+        is_own = was_awaited and sent_responses == peer.responses[-1] and not step.closes
         if not is_own:
             peer.mark_ambiguous()
             peer.has_truncated_response = len(sent_responses) < len(data)
@@ -277,7 +277,7 @@
 
     def _bytes_of(self, peer: BackendPeer, form: ResponseForm, step: SendBytes) -> bytes:
         ids = peer.ids()
-        is_awaited = bool(ids) and peer.answers[-1] is None
+        is_awaited = bool(ids) and peer.responses[-1] is None
         match form:
             case ResponseForm.LATE_RESPONSE:
                 return (
@@ -297,7 +297,7 @@
                 return b"junk"
         if not is_awaited:
             return peer.sent_responses[-1] if peer.sent_responses else b""
-        response = self._answer(peer, ids[-1], step)
+        response = self._make_response(peer, ids[-1], step)
         peer.sent_responses.append(response)
         if form is ResponseForm.OWN:
             return response
@@ -308,7 +308,7 @@
             + response[status_line_end:]
         )
 
-    def _answer(self, peer: BackendPeer, id: str, step: SendBytes) -> bytes:
+    def _make_response(self, peer: BackendPeer, id: str, step: SendBytes) -> bytes:
         close = [("Connection", "close")] if step.closes else []
         self._serial += 1
         if step.executes:
@@ -318,7 +318,7 @@
         else:
             peer.executed[-1] = False
             response = serialize_rejection(id, 503, *close)
-        peer.answers[-1] = response
+        peer.responses[-1] = response
         return response
 
 
@@ -342,33 +342,33 @@
     st.sampled_from(list(ResponseForm)).map(lambda form: (ResponseForm.OWN, form)),
     st.lists(st.sampled_from(list(ResponseForm)), min_size=2, max_size=3).map(tuple),
 )
-_complete = st.just(16)
-_sends = st.builds(
+_all_sixteenths = st.just(16)
+_backend_sends = st.builds(
     SendBytes,
     _transport_indexes,
     _forms,
     st.booleans(),
     _statuses,
     st.integers(1, 5),
-    st.one_of(_complete, _complete, st.integers(1, 16)),
+    st.one_of(_all_sixteenths, _all_sixteenths, st.integers(1, 16)),
     st.sampled_from([False, False, False, True]),
 )
-_clean = st.builds(
+_complete_response = st.builds(
     SendBytes,
     st.just(0),
     st.just((ResponseForm.OWN,)),
     st.booleans(),
     _statuses,
     st.just(1),
-    _complete,
+    _all_sixteenths,
     st.just(False),
 )
-_passes = st.builds(Wait, st.sampled_from([0.06, 0.06, 0.06, 0.01, 1.2]))
-_ends = st.builds(CloseConnection, _transport_indexes, st.booleans())
+_waits = st.builds(Wait, st.sampled_from([0.06, 0.06, 0.06, 0.01, 1.2]))
+_closes = st.builds(CloseConnection, _transport_indexes, st.booleans())
 _others = st.one_of(
-    _sends,
-    _passes,
-    _ends,
+    _backend_sends,
+    _waits,
+    _closes,
     st.builds(AcceptMore, _transport_indexes),
     st.builds(CancelRequest, st.integers(0, 5)),
 )
@@ -376,9 +376,9 @@
     st.builds(
         SendRequest, st.booleans(), st.sampled_from([UNLIMITED_BYTES, UNLIMITED_BYTES, UNLIMITED_BYTES, 40])
     ),
-    st.one_of(_clean, _sends, _sends, _ends),
-    st.one_of(_passes, _passes, _sends, _others),
+    st.one_of(_complete_response, _backend_sends, _backend_sends, _closes),
+    st.one_of(_waits, _waits, _backend_sends, _others),
 )
 plans = st.lists(_round_plans, min_size=1, max_size=7).map(
-    lambda round_plans: [step for step_ in round_plans for step in step_]
+    lambda round_plans: [step for entry in round_plans for step in entry]
 )
--- a/simulation/exchange/fuzz_client.py
+++ b/simulation/exchange/fuzz_client.py
@@ -21,7 +21,7 @@
 from simulation.exchange.scripted_transports import scripted_loop
 
 ERROR_STATUSES = (400, 408)
-ANSWER = re.compile(rb"HTTP/1\.1 (\d+) [^\r]*\r\n(?:[^\r]+\r\n)*\r\n(\d*)")
+RESPONSE = re.compile(rb"HTTP/1\.1 (\d+) [^\r]*\r\n(?:[^\r]+\r\n)*\r\n(\d*)")
 
 
 @dataclass(frozen=True)
@@ -58,32 +58,32 @@
 class FuzzRun:
     """One plan as it is played: the client's connection and what was forwarded."""
 
-    def __init__(self, hop: ClientRequestPlayer) -> None:
-        self.hop = hop
+    def __init__(self, player: ClientRequestPlayer) -> None:
+        self.player = player
         self.complete_ids: list[str] = []  # complete requests before any malformed one
         self.sent = 0
         self.is_well_formed = True
         self.responded_ids: list[str] = []
 
     def apply(self, step: Step) -> None:
-        hop = self.hop
+        player = self.player
         match step:
             case Send():
                 self._send(step)
             case Respond():
-                if hop.connection.request is not None:
-                    id = hop.connection.request.trace.decode()
+                if player.connection.request is not None:
+                    id = player.connection.request.trace.decode()
                     self.responded_ids.append(id)
-                    hop.connection.on_response(Response(200, [], id.encode()))
+                    player.connection.on_response(Response(200, [], id.encode()))
                 else:
-                    hop.connection.on_response(Response(200, [], b"nobody"))
+                    player.connection.on_response(Response(200, [], b"nobody"))
             case Wait():
                 for _ in range(3):
-                    hop.loop.now += PAST_ALL_TIMEOUTS_S
-                    hop.frontend._sweep()
+                    player.loop.now += PAST_ALL_TIMEOUTS_S
+                    player.frontend._sweep()
             case Disconnect():
-                close(hop.transport, step.is_reset)
-        hop.loop.wait(0.001)
+                close(player.transport, step.is_reset)
+        player.loop.wait(0.001)
         self.check()
 
     def _send(self, step: Send) -> None:
@@ -101,7 +101,7 @@
         self.sent += len(step.malformed)
         self.is_well_formed = self.is_well_formed and cut_at == len(data)
         data = data[:cut_at]
-        feed_in_chunks(self.hop.transport, data, step.chunks)
+        feed_in_chunks(self.player.transport, data, step.chunks)
 
     def _request(self, index: int, malformed: bool) -> tuple[str, bytes]:
         id = str(self.sent + index)
@@ -109,14 +109,14 @@
         return id, complete_ids.replace(b"Host: a", b"Host: \x00") if malformed else complete_ids
 
     def check(self) -> None:
-        accepted = self.hop.handler.accepted
+        accepted = self.player.handler.accepted
         if accepted != self.complete_ids[: len(accepted)]:
             raise ExchangeViolation(f"{accepted} were forwarded, {self.complete_ids} were sent completely")
-        answers = ANSWER.findall(bytes(self.hop.transport.accepted))
-        successes = [body.decode() for status, body in answers if int(status) == 200]
-        if successes != self.responded_ids[: len(successes)] or b"nobody" in self.hop.transport.accepted:
+        responses = RESPONSE.findall(bytes(self.player.transport.accepted))
+        successes = [body.decode() for status, body in responses if int(status) == 200]
+        if successes != self.responded_ids[: len(successes)] or b"nobody" in self.player.transport.accepted:
             raise ExchangeViolation(f"responses {successes} to requests {self.responded_ids}")
-        errors = [int(status) for status, _ in answers if int(status) != 200]
+        errors = [int(status) for status, _ in responses if int(status) != 200]
         if len(errors) > 1 or any(status not in ERROR_STATUSES for status in errors):
             raise ExchangeViolation(f"error responses: {errors}")
 
--- a/simulation/exchange/fuzz_peer.py
+++ b/simulation/exchange/fuzz_peer.py
@@ -85,7 +85,7 @@
         self.connections = PeerConnections(loop, lambda message, connection, call_id: None)
         self.calls: list[CallRecord] = []
         self.reply_bodies: dict[str, list[bytes]] = {}
-        self.bytes_at_violation: dict[ScriptedTransport, int] = {}  # bytes written when it became ambiguous
+        self.bytes_when_ambiguous: dict[ScriptedTransport, int] = {}  # bytes written when it became ambiguous
 
     def send_call(self, step: SendCall) -> None:
         self.loop.writable_bytes = step.writable_bytes
@@ -129,8 +129,8 @@
         for call_record in self.calls:
             if call_record.is_proven_unsent and call_record.id in calls_read:
                 raise ExchangeViolation(f"call {call_record.id} is reported as not sent, and was read")
-        for transport, chunk_bytes in self.bytes_at_violation.items():
-            if len(transport.accepted) > chunk_bytes:
+        for transport, byte_count in self.bytes_when_ambiguous.items():
+            if len(transport.accepted) > byte_count:
                 raise ExchangeViolation("an ambiguous connection carried more")
 
     def apply(self, step: Step) -> None:
@@ -152,7 +152,7 @@
                         Frame(self.connections.last_call_id + 7, True, ForwardResponse(200, [], b"stray"))
                     )
                     transport.feed(frame if step.is_frame else b"\xff\xff\xff\xff")
-                    self.bytes_at_violation[transport] = len(transport.accepted)
+                    self.bytes_when_ambiguous[transport] = len(transport.accepted)
             case CloseConnection():
                 if transport is not None:
                     close(transport, step.is_reset)
--- a/simulation/exchange/inbound_requests.py
+++ b/simulation/exchange/inbound_requests.py
@@ -69,7 +69,7 @@
         """Return the backend connections on which any byte of the request was written."""
         return [transport for transport in self.loop.transports if b"GET /own " in transport.accepted]
 
-    def reach(self, state: InboundRequestState) -> None:
+    def enter_state(self, state: InboundRequestState) -> None:
         if state is InboundRequestState.WAITING:
             self.feed(SLOT_HOLDER_CALL, self.forward_request("first", is_not_idempotent=False))
         self.feed(
@@ -83,7 +83,7 @@
             self.loop.wait(0.001)
             expect(len(self.replies()), 1, "replies before the event")
 
-    def meet(self, event: InboundRequestEvent) -> None:
+    def apply_event(self, event: InboundRequestEvent) -> None:
         match event:
             case InboundRequestEvent.CANCELLED:
                 self.feed(0, CancelCall(PLAYED_CALL))
@@ -102,9 +102,9 @@
                 self.loop.transports[0].feed(serialize_response("first"))
         self.loop.wait(0.001)
 
-    def conclusion(self, before: int) -> Conclusion:
+    def conclusion(self, reply_count_before: int) -> Conclusion:
         """Return what is reported to the forwarding proxy, or what is true where nothing is reported."""
-        match self.replies()[before:]:
+        match self.replies()[reply_count_before:]:
             case []:
                 return self._unreported_conclusion()
             case [NotExecuted()]:
@@ -136,18 +136,19 @@
 ) -> None:
     """Play one cell. Raises ExchangeViolation."""
     with scripted_loop() as loop:
-        hop = InboundRequestPlayer(loop)
-        hop.reach(state)
-        before = len(hop.replies())
-        hop.meet(event)
+        player = InboundRequestPlayer(loop)
+        player.enter_state(state)
+        reply_count_before = len(player.replies())
+        player.apply_event(event)
         where = f"inbound request, {state.value}, {event.value}"
         if state is not InboundRequestState.FINISHED:
-            expect(hop.conclusion(before), cell.conclusion, where)
-        expect(len(hop.replies()) - before, int(cell.is_reported), f"{where}, replies")
+            expect(player.conclusion(reply_count_before), cell.conclusion, where)
+        expect(len(player.replies()) - reply_count_before, int(cell.is_reported), f"{where}, replies")
         holds_slot = any(
-            request.forward_request.attempt_id == OWN_ID.encode() for request in hop.inbound_proxy._in_flight
+            request.forward_request.attempt_id == OWN_ID.encode()
+            for request in player.inbound_proxy._in_flight
         )
         expect(holds_slot, cell.slot is Slot.HELD, f"{where}, whether it holds a slot")
-        transports_written = len(hop.transports_written())
-        hop.finish()
-        expect(len(hop.transports_written()), transports_written, f"{where}, written later")
+        transports_written = len(player.transports_written())
+        player.finish()
+        expect(len(player.transports_written()), transports_written, f"{where}, written later")
--- a/simulation/exchange/keyed_operations.py
+++ b/simulation/exchange/keyed_operations.py
@@ -55,14 +55,14 @@
 
     def __init__(self) -> None:
         self.operations = KeyedOperations[str](INCARNATION, WINDOW_S)
-        self.told: list[OperationReply] = []
+        self.outcome_replies: list[OperationReply] = []
         self.waiter = "t1"
 
     def local_claim(self) -> str:
         operation = self.operations._operations.get(KEY)
         return operation.claim_id if operation is not None else f"{INCARNATION}.1"
 
-    def reach(self, state: KeyedOperationState) -> None:
+    def enter_state(self, state: KeyedOperationState) -> None:
         if state is KeyedOperationState.NEW:
             return
         operations = self.operations
@@ -86,13 +86,13 @@
                 operations.on_claimed(KEY, "there", REMOTE_CLAIM)
         match state:
             case KeyedOperationState.QUERIED:
-                operations.on_outcome_query(KEY, self.local_claim(), self.told.append)
+                operations.on_outcome_query(KEY, self.local_claim(), self.outcome_replies.append)
             case KeyedOperationState.DONE:
                 operations.on_response(KEY, FIRST_RESPONSE)
             case KeyedOperationState.UNKNOWN:
                 operations.on_execution_failed(KEY)
 
-    def meet(self, event: KeyedOperationEvent) -> list[Action[str]]:
+    def apply_event(self, event: KeyedOperationEvent) -> list[Action[str]]:
         operations = self.operations
         match event:
             case KeyedOperationEvent.ATTEMPT_ARRIVED:
@@ -124,7 +124,7 @@
             case KeyedOperationEvent.FAILED:
                 return operations.on_execution_failed(KEY)
             case KeyedOperationEvent.QUERIED:
-                operations.on_outcome_query(KEY, self.local_claim(), self.told.append)
+                operations.on_outcome_query(KEY, self.local_claim(), self.outcome_replies.append)
             case KeyedOperationEvent.WINDOW_EXPIRED:
                 operations.expire(10 * WINDOW_S)
         return []
@@ -142,14 +142,18 @@
     state: KeyedOperationState, event: KeyedOperationEvent, cell: KeyedOperationCell
 ) -> None:
     """Play one cell. Raises ExchangeViolation."""
-    proxy = KeyedOperationPlayer()
-    proxy.reach(state)
-    expect(proxy.state(), state, "the state before")
-    actions = proxy.meet(event)
+    player = KeyedOperationPlayer()
+    player.enter_state(state)
+    expect(player.state(), state, "the state before")
+    actions = player.apply_event(event)
     where = f"keyed operation, {state.value}, {event.value}"
     expect(tuple(ACTIONS[type(action)] for action in actions), cell.actions, where)
-    expect(proxy.state(), cell.next_state, where)
-    expect([reply.state for reply in proxy.told], [cell.reported] if cell.reported else [], f"{where}, told")
+    expect(player.state(), cell.next_state, where)
+    expect(
+        [reply.state for reply in player.outcome_replies],
+        [cell.reported] if cell.reported else [],
+        f"{where}, reported",
+    )
     for action in actions:
         if isinstance(action, Respond):
-            expect(action.response, FIRST_RESPONSE, f"{where}, the answer")
+            expect(action.response, FIRST_RESPONSE, f"{where}, the response")
--- a/simulation/exchange/peer_calls.py
+++ b/simulation/exchange/peer_calls.py
@@ -43,7 +43,7 @@
         self.replies: list[Message | PeerError] = []
         self.call: PendingCall
 
-    def ask(self, id: str, on_reply: Callable[[Message | PeerError], None]) -> PendingCall:
+    def send_call(self, id: str, on_reply: Callable[[Message | PeerError], None]) -> PendingCall:
         call = self.connections.call(PEER_ADDRESS, forward_request(id, is_not_idempotent=True), on_reply)
         if isinstance(call, PeerError):
             raise ExchangeViolation(f"the call was not accepted: {call}")
@@ -59,14 +59,14 @@
             frame.message.attempt_id.decode() for frame in frames if isinstance(frame.message, ForwardRequest)
         ]
 
-    def reach(self, state: PeerCallState, has_reply: bool) -> None:
+    def enter_state(self, state: PeerCallState, has_reply: bool) -> None:
         """Bring the call into the state. `has_reply`: a finished call had a reply, else it was cancelled."""
-        self.loop.holds_connects = state is PeerCallState.CONNECTING
+        self.loop.delays_connects = state is PeerCallState.CONNECTING
         if state is PeerCallState.QUEUED:
-            before = self.ask("before", lambda reply: None)
+            earlier_call = self.send_call("before", lambda reply: None)
             self.loop.wait(0.01)
-            self.transport().feed(encode(Frame(before.call_id, True, Pong())))
-        self.call = self.ask("own", self.replies.append)
+            self.transport().feed(encode(Frame(earlier_call.call_id, True, Pong())))
+        self.call = self.send_call("own", self.replies.append)
         if state is PeerCallState.QUEUED:
             return
         self.loop.wait(0.01)
@@ -77,17 +77,17 @@
             else:
                 self.call.cancel()
 
-    def meet(self, event: PeerCallEvent, reply: Message | None) -> Conclusion:
+    def apply_event(self, event: PeerCallEvent, reply: Message | None) -> Conclusion:
         """Cause the event, and return what the caller concludes."""
         if event is PeerCallEvent.CANCELLED:
             was_pending = self.call.on_reply is not None
             if self.call.cancel():
                 return Conclusion.NOT_EXECUTED
             return Conclusion.MAY_HAVE_EXECUTED if was_pending else Conclusion.PENDING
-        self._bring_about(event, reply)
+        self._cause_event(event, reply)
         return self.conclusion()
 
-    def _bring_about(self, event: PeerCallEvent, reply: Message | None) -> None:
+    def _cause_event(self, event: PeerCallEvent, reply: Message | None) -> None:
         match event:
             case PeerCallEvent.CONNECT_REFUSED:
                 self.loop.connects[-1].fail(ConnectionRefusedError())
@@ -133,12 +133,12 @@
         connection = self.call.connection
         if connection.pending_calls:
             return ConnectionState.IN_USE
-        self.loop.holds_connects = False
+        self.loop.delays_connects = False
         if self.loop.connects and not self.loop.transports and not connection.is_closed:
             self.loop.connects[-1].open()
         self.loop.wait(RECONNECT_DELAY_S)
         connects = len(self.loop.connects)
-        self.ask("next", lambda reply: None)
+        self.send_call("next", lambda reply: None)
         self.loop.wait(0.01)
         if concluded is Conclusion.NOT_EXECUTED and state is not PeerCallState.SENT:
             for transport in self.loop.transports:
@@ -156,22 +156,22 @@
     for reply in REPLIES.get(event, [None]):
         for has_reply in [True, False] if state is PeerCallState.FINISHED else [True]:
             with scripted_loop() as loop:
-                hop = PeerCallPlayer(loop)
-                hop.reach(state, has_reply)
-                concluded = hop.meet(event, reply)
+                player = PeerCallPlayer(loop)
+                player.enter_state(state, has_reply)
+                concluded = player.apply_event(event, reply)
                 where = f"peer call, {state.value}, {event.value}, {reply}"
                 expect(concluded, cell.conclusion, where)
-                expect(hop.connection(state, concluded), cell.connection, where)
-                _check_cancel(hop, state, event)
+                expect(player.connection(state, concluded), cell.connection, where)
+                _check_cancel(player, state, event)
 
 
-def _check_cancel(hop: PeerCallPlayer, state: PeerCallState, event: PeerCallEvent) -> None:
+def _check_cancel(player: PeerCallPlayer, state: PeerCallState, event: PeerCallEvent) -> None:
     """Check that the peer gets a cancellation of a call that it may have read, and of no other call."""
     if event is not PeerCallEvent.CANCELLED:
         return
-    frames: list[Any] = FrameDecoder().feed(bytes(hop.transport().accepted))
+    frames: list[Any] = FrameDecoder().feed(bytes(player.transport().accepted))
     cancelled = [frame.message.call_id for frame in frames if isinstance(frame.message, CancelCall)]
     if state is PeerCallState.SENT:
-        expect(cancelled, [hop.call.call_id], "calls that are cancelled at the peer")
+        expect(cancelled, [player.call.call_id], "calls that are cancelled at the peer")
     elif state is not PeerCallState.FINISHED:
         expect(cancelled, [], "calls that are cancelled at the peer")
--- a/simulation/exchange/planted_defects.py
+++ b/simulation/exchange/planted_defects.py
@@ -30,7 +30,7 @@
 def _retries_after_reset() -> PlantedDefect:
     """Treats a reset of a reused connection after the request was written as an idle connection's close."""
 
-    def read_as_cut(
+    def treat_as_idle_close(
         stage: AttemptStage,
         failure: FailureKind,
         is_reused: bool = False,
@@ -40,7 +40,7 @@
             return AttemptResult(Outcome.DISCONNECTED, 0.0)
         return result_of_failure(stage, failure, is_reused, partial_request_may_run)
 
-    return mock.patch.object(backend_connection, "result_of_failure", read_as_cut)
+    return mock.patch.object(backend_connection, "result_of_failure", treat_as_idle_close)
 
 
 def _treats_partial_request_as_not_executed() -> PlantedDefect:
@@ -85,33 +85,33 @@
     """Accepts a response that has no attempt id."""
     correlate_response = backend_responses.correlate_response
 
-    def lenient(response: Response, id: bytes) -> response_parser.ResponseCorrelation:
+    def accept_missing_id(response: Response, id: bytes) -> response_parser.ResponseCorrelation:
         if not backend_responses.header_value(response, backend_responses.ATTEMPT_ID_HEADER):
             return response_parser.ResponseCorrelation.MATCHES
         return correlate_response(response, id)
 
-    return mock.patch.object(inbound_request, "correlate_response", lenient)
+    return mock.patch.object(inbound_request, "correlate_response", accept_missing_id)
 
 
 def _forgets_failed_request_ids() -> PlantedDefect:
     """Resends a rejected request on a connection where a second response to it may still arrive."""
     acquire_idle = backend_pool.BackendConnectionPool._acquire_idle
 
-    def acquire_any(
+    def acquire_for_any_request(
         pool: backend_pool.BackendConnectionPool, server: str, is_not_idempotent: bool, request_id: bytes
     ) -> backend_connection.BackendConnection | None:
         return acquire_idle(pool, server, is_not_idempotent, b"")
 
-    return mock.patch.object(backend_pool.BackendConnectionPool, "_acquire_idle", acquire_any)
+    return mock.patch.object(backend_pool.BackendConnectionPool, "_acquire_idle", acquire_for_any_request)
 
 
 def _treats_lost_connection_as_not_sent() -> PlantedDefect:
     """Reports a call whose peer connection was lost as one that the peer never read."""
 
-    def unread(step: str, peer: str, reason: str, may_have_arrived: bool) -> PeerError:
+    def report_as_unsent(step: str, peer: str, reason: str, may_have_arrived: bool) -> PeerError:
         return PeerError(step, peer, reason, False)
 
-    return mock.patch.object(peer_connection, "PeerError", unread)
+    return mock.patch.object(peer_connection, "PeerError", report_as_unsent)
 
 
 def _accepts_contradictory_outcome() -> PlantedDefect:
@@ -125,23 +125,25 @@
     """Executes a request that was cancelled while it waited for a slot."""
     on_cancelled = inbound_proxy.InboundProxy._on_cancelled
 
-    def only_in_flight(self: inbound_proxy.InboundProxy, request: inbound_request.InboundRequest) -> None:
+    def cancel_only_in_flight(
+        self: inbound_proxy.InboundProxy, request: inbound_request.InboundRequest
+    ) -> None:
         if request in self._in_flight:
             on_cancelled(self, request)
 
-    return mock.patch.object(inbound_proxy.InboundProxy, "_on_cancelled", only_in_flight)
+    return mock.patch.object(inbound_proxy.InboundProxy, "_on_cancelled", cancel_only_in_flight)
 
 
 def _forwards_requests_before_malformed_input() -> PlantedDefect:
     """Forwards pipelined requests that precede malformed input, although the client got 400."""
     reject_input = ClientConnection._reject_input
 
-    def keep_pipelined(connection: ClientConnection, problem: BadRequestError) -> None:
+    def reject_but_keep_pipelined(connection: ClientConnection, problem: BadRequestError) -> None:
         pipelined = list(connection._pipelined)
         reject_input(connection, problem)
         connection._pipelined.extendleft(reversed(pipelined))
 
-    return mock.patch.object(ClientConnection, "_reject_input", keep_pipelined)
+    return mock.patch.object(ClientConnection, "_reject_input", reject_but_keep_pipelined)
 
 
 def _executes_failed_key_again() -> PlantedDefect:
@@ -152,14 +154,14 @@
 def _keeps_released_key() -> PlantedDefect:
     """Executes a key here after it was released to another proxy."""
 
-    def tell(operations: KeyedOperations[Any], operation: Any) -> None:
+    def notify_and_keep(operations: KeyedOperations[Any], operation: Any) -> None:
         table, stage = dict(operations._operations), operation.stage
-        told(operations, operation)
+        notify_listeners(operations, operation)
         operations._operations.update(table)
         operation.stage = stage
 
-    told = KeyedOperations._notify_listeners
-    return mock.patch.object(KeyedOperations, "_notify_listeners", tell)
+    notify_listeners = KeyedOperations._notify_listeners
+    return mock.patch.object(KeyedOperations, "_notify_listeners", notify_and_keep)
 
 
 DEFECTS: dict[str, Callable[[], PlantedDefect]] = {
@@ -199,13 +201,13 @@
 }
 
 
-def by_table(name: str) -> str:
+def find_by_table(name: str) -> str:
     """Return the first table cell that the code with the defect violates; empty: none."""
     with DEFECTS[name]():
-        return next(iter(play(stop_at_first=True).wrong), "")
+        return next(iter(play(stop_at_first=True).violations), "")
 
 
-def by_fuzzing(name: str) -> str:
+def find_by_fuzzing(name: str) -> str:
     """Return the violation that a generated plan finds in the code with the defect; empty: none."""
     with DEFECTS[name]():
         for hop in HOPS:
@@ -216,7 +218,7 @@
     return ""
 
 
-def by_counterexample(name: str) -> str:
+def find_by_counterexample(name: str) -> str:
     """Return the violation that the defect's counterexample, if it has one, finds in it; empty: none."""
     with DEFECTS[name]():
         try:
@@ -228,4 +230,4 @@
 
 def find_violation(name: str) -> str:
     """Return the first violation that the checks find in the code with the defect; empty: none."""
-    return by_table(name) or by_counterexample(name) or by_fuzzing(name)
+    return find_by_table(name) or find_by_counterexample(name) or find_by_fuzzing(name)
--- a/simulation/exchange/play_tables.py
+++ b/simulation/exchange/play_tables.py
@@ -34,8 +34,8 @@
 
     cells: int  # possible ones
     impossible: int  # marked as impossible in the table
-    right: int  # played as the table says
-    wrong: list[str]  # violations in the others
+    passed: int  # played as the table says
+    violations: list[str]  # violations in the others
 
 
 def cells(hop: str) -> Iterator[tuple[Any, Any, Any]]:
@@ -46,17 +46,17 @@
 
 
 def play(hops: list[str] | None = None, stop_at_first: bool = False) -> TableResults:
-    total = right = impossible = 0
-    wrong: list[str] = []
+    total = passed = impossible = 0
+    violations: list[str] = []
     for hop in hops or list(TABLES):
         impossible += len(TABLES[hop][0]) - len(list(cells(hop)))
         for state, event, cell in cells(hop):
             total += 1
             try:
                 TABLES[hop][1](state, event, cell)
-                right += 1
+                passed += 1
             except ExchangeViolation as problem:
-                wrong.append(str(problem))
+                violations.append(str(problem))
                 if stop_at_first:
-                    return TableResults(total, impossible, right, wrong)
-    return TableResults(total, impossible, right, wrong)
+                    return TableResults(total, impossible, passed, violations)
+    return TableResults(total, impossible, passed, violations)
--- a/simulation/exchange/print_tables.py
+++ b/simulation/exchange/print_tables.py
@@ -15,12 +15,12 @@
 from cometdoor.host.exchange.table import Conclusion, ConnectionState, Impossible, TableCell
 from simulation.exchange.play_tables import TABLES
 
-CONNECTION_WORDS = {
+CONNECTION_LABELS = {
     ConnectionState.IN_USE: "in use",
     ConnectionState.REUSABLE: "reusable",
     ConnectionState.CLOSED: "closed",
 }
-CONCLUSION_WORDS = {
+CONCLUSION_LABELS = {
     Conclusion.PENDING: "",
     Conclusion.EXECUTED: "executed",
     Conclusion.NOT_EXECUTED: "**not executed**",
@@ -38,18 +38,18 @@
             return f"- ({reasons.index(cell.reason) + 1})"
         case TableCell():
             return ", ".join(
-                filter(None, [CONCLUSION_WORDS[cell.conclusion], CONNECTION_WORDS[cell.connection]])
+                filter(None, [CONCLUSION_LABELS[cell.conclusion], CONNECTION_LABELS[cell.connection]])
             )
         case InboundRequestCell():
             report = "reported" if cell.is_reported else ""
-            return ", ".join(filter(None, [CONCLUSION_WORDS[cell.conclusion], cell.slot.value, report]))
+            return ", ".join(filter(None, [CONCLUSION_LABELS[cell.conclusion], cell.slot.value, report]))
         case KeyedOperationCell():
-            words = [action.value for action in cell.actions]
+            labels = [action.value for action in cell.actions]
             if cell.reported:
-                words.append(f"reports {cell.reported}")
+                labels.append(f"reports {cell.reported}")
             if cell.next_state is not state:
-                words.append(f"-> {cell.next_state.value}")
-            return ", ".join(words)
+                labels.append(f"-> {cell.next_state.value}")
+            return ", ".join(labels)
 
 
 def table(cells: Mapping[tuple[Any, Any], Any]) -> str:
--- a/simulation/exchange/scripted_transports.py
+++ b/simulation/exchange/scripted_transports.py
@@ -88,7 +88,7 @@
         if self.is_closed or self.has_sent_eof:
             return
         if self.fails_writes:
-            self._lose(BrokenPipeError("reset"))
+            self._disconnect(BrokenPipeError("reset"))
         elif self._buffered:
             self._buffered += data
         else:
@@ -133,9 +133,9 @@
 
     def abort(self) -> None:
         if not self.is_closed:
-            self._lose(None)
+            self._disconnect(None)
 
-    def _lose(self, error: Exception | None) -> None:
+    def _disconnect(self, error: Exception | None) -> None:
         self.is_closed = True
         self._buffered.clear()
         self.loop.call_soon(self.protocol.connection_lost, error)
@@ -170,18 +170,18 @@
         super().__init__()
         self.transports: list[ScriptedTransport] = []  # all opened connections
         self.connects: list[PendingConnect] = []  # all attempts to connect
-        self.holds_connects = False  # attempts to connect wait for the script
+        self.delays_connects = False  # attempts to connect wait for the script
         self.writable_bytes = UNLIMITED_BYTES  # of the next connection
         self.fails_writes = False
 
     async def create_connection(  # type: ignore[override]
         self, factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> tuple[ScriptedTransport, Any]:
-        dial = PendingConnect(self, factory)
-        self.connects.append(dial)
-        if not self.holds_connects:
-            dial.open()
-        return await dial.outcome
+        pending_connect = PendingConnect(self, factory)
+        self.connects.append(pending_connect)
+        if not self.delays_connects:
+            pending_connect.open()
+        return await pending_connect.outcome
 
     def wait(self, seconds: float) -> None:
         self.run_until_complete(asyncio.sleep(seconds))
@@ -191,11 +191,11 @@
 def scripted_loop() -> Iterator[ScriptedLoop]:
     """Yield a loop in virtual time, which also replaces the programs' clocks."""
     loop = ScriptedLoop()
-    nothing_unread = lambda transport: False  # noqa: E731
+    never_readable = lambda transport: False  # noqa: E731
     with (
         mock.patch.object(time, "monotonic", loop.time),
-        mock.patch.object(cometdoor.http.backend_connection, "is_readable", nothing_unread),
-        mock.patch.object(cometdoor.http.client_connection, "is_readable", nothing_unread),
+        mock.patch.object(cometdoor.http.backend_connection, "is_readable", never_readable),
+        mock.patch.object(cometdoor.http.client_connection, "is_readable", never_readable),
         structlog.testing.capture_logs(),
     ):
         yield loop
--- a/simulation/failing_servers.py
+++ b/simulation/failing_servers.py
@@ -39,7 +39,7 @@
 from standins.rules import RuleViolation
 from standins.server_model import Behaviour, KeyStore, Reply, ServerModel, exponential
 
-WORK_S = 0.02
+MEAN_LATENCY_S = 0.02
 FAULT_AT_S = 5.0
 
 
@@ -101,7 +101,7 @@
     sends: list[tuple[float, int, str]] = field(default_factory=list)
     unhealthy: set[str] = field(default_factory=set)  # servers that were unhealthy at some time
     # Seconds after the fault, proxy, server.
-    alarms: list[tuple[float, int, str]] = field(default_factory=list)
+    ejections: list[tuple[float, int, str]] = field(default_factory=list)
     ends_at: float = 0.0
 
     def __post_init__(self) -> None:
@@ -111,7 +111,7 @@
         self.key_stores = [KeyStore() for _ in range(max(self.size.servers // 2, 1))]
         self.models: dict[str, ServerModel] = {}
         self.entries: dict[str, tuple[Endpoint, Address]] = {}
-        self._suspected_before: set[tuple[int, str]] = set()
+        self._ejected_before: set[tuple[int, str]] = set()
         for server_number in range(self.size.servers):
             self.add_server(server_number)
         self.proxies = [SimulatedProxy(self, proxy_number) for proxy_number in range(self.size.proxies)]
@@ -129,7 +129,7 @@
             seed=self.seed,
             cell=cell,
             keys=self.key_stores[cell],
-            behaviour=Behaviour(latency=exponential(WORK_S)),
+            behaviour=Behaviour(latency=exponential(MEAN_LATENCY_S)),
         )
         self.network.servers[address] = VirtualServer(model, self.clock)
         self.network.down_addresses.discard(address)
@@ -179,31 +179,33 @@
     def _check_invariants(self) -> None:
         now = self.clock.now()
         self.clients.check_deadlines()
-        suspected_now: set[tuple[int, str]] = set()
+        ejected_now: set[tuple[int, str]] = set()
         for proxy in self.proxies:
-            suspected = proxy.host.ejected_endpoints()
-            if 2 * len(suspected) > len(proxy.servers_by_name):
+            ejected = proxy.host.ejected_endpoints()
+            if 2 * len(ejected) > len(proxy.servers_by_name):
                 raise InvariantError(
-                    f"proxy {proxy.proxy_number} suspects {len(suspected)} of "
+                    f"proxy {proxy.proxy_number} ejects {len(ejected)} of "
                     f"{len(proxy.servers_by_name)} servers"
                 )
-            suspected_now.update((proxy.proxy_number, name) for name in suspected)
-        since = now - self.started_at - FAULT_AT_S
-        self.alarms.extend(
-            (since, *suspicion) for suspicion in sorted(suspected_now - self._suspected_before)
+            ejected_now.update((proxy.proxy_number, name) for name in ejected)
+        since_fault_s = now - self.started_at - FAULT_AT_S
+        self.ejections.extend(
+            (since_fault_s, *ejection) for ejection in sorted(ejected_now - self._ejected_before)
         )
-        self._suspected_before = suspected_now
+        self._ejected_before = ejected_now
 
     # --- results ---
 
-    def served(self, effect: str) -> float:
+    def served_share(self, effect: str) -> float:
         """Return the share of the requests of an effect that were served."""
-        of_kind = [attempt for attempt in self.client_log.attempts if attempt.effect == effect]
-        return sum(attempt.status == 200 for attempt in of_kind) / max(len(of_kind), 1)
+        matching_attempts = [attempt for attempt in self.client_log.attempts if attempt.effect == effect]
+        return sum(attempt.status == 200 for attempt in matching_attempts) / max(len(matching_attempts), 1)
 
-    def false_alarms(self) -> int:
+    def false_ejections(self) -> int:
         """Return how often a proxy ejected a server that was not unhealthy."""
-        return sum(name not in self.unhealthy or since < 0.0 for since, _, name in self.alarms)
+        return sum(
+            name not in self.unhealthy or since_fault_s < 0.0 for since_fault_s, _, name in self.ejections
+        )
 
     def unhealthy_send_share(self, from_s: float) -> float:
         """Return the share of attempts to unhealthy servers, from `from_s` seconds after the fault on."""
--- a/simulation/gossip.py
+++ b/simulation/gossip.py
@@ -44,18 +44,18 @@
         call_id = mesh.add_pending(self._address, on_reply)
         if mesh.can_reach(self._address, peer):
             mesh.call_later(NETWORK_DELAY_S, mesh.deliver, peer, message, self, call_id)
-            mesh.call_later(KEEPALIVE_TIMEOUT_S + 0.1, self._watch, call_id, peer)
+            mesh.call_later(KEEPALIVE_TIMEOUT_S + 0.1, self._check_keepalive, call_id, peer)
         else:
             delay_s = NETWORK_DELAY_S if mesh.is_dead(peer) else KEEPALIVE_TIMEOUT_S + 0.1
             mesh.call_later(delay_s, mesh.reply, call_id, PeerError("connect", peer, "not reached", False))
         return call_id
 
-    def _watch(self, call_id: int, peer: str) -> None:
+    def _check_keepalive(self, call_id: int, peer: str) -> None:
         """Fail the call once keepalives are missing; a response may take any time."""
         if not self._mesh.is_pending(call_id):
             return
         if self._mesh.can_reach(self._address, peer):
-            self._mesh.call_later(KEEPALIVE_TIMEOUT_S + 0.1, self._watch, call_id, peer)
+            self._mesh.call_later(KEEPALIVE_TIMEOUT_S + 0.1, self._check_keepalive, call_id, peer)
         else:
             self._mesh.reply(call_id, PeerError("answer", peer, "silent", True))
 
@@ -123,21 +123,21 @@
         return self.nodes[f"{node}:1"].directory
 
     def live_directories(self) -> list[Directory]:
-        return [one.directory for address, one in self.nodes.items() if address not in self._dead]
+        return [node.directory for address, node in self.nodes.items() if address not in self._dead]
 
     # --- the network ---
 
     def is_dead(self, address: str) -> bool:
         return address in self._dead or address not in self.nodes
 
-    def can_reach(self, one: str, other: str) -> bool:
+    def can_reach(self, node: str, other: str) -> bool:
         return not (
-            self.is_dead(one)
+            self.is_dead(node)
             or self.is_dead(other)
-            or one in self.isolated
+            or node in self.isolated
             or other in self.isolated
-            or frozenset((one, other)) in self.cut_links
-            or (one in self.partition_side) != (other in self.partition_side)
+            or frozenset((node, other)) in self.cut_links
+            or (node in self.partition_side) != (other in self.partition_side)
         )
 
     def record_sent(self, sender: str, message: Message) -> None:
--- a/simulation/isolated_replica.py
+++ b/simulation/isolated_replica.py
@@ -132,7 +132,7 @@
                 requests.add(asyncio.create_task(self._measure_convergence(now)))
             elif not has_transferred_leadership and now >= started_at + PARTITION_S / 2:
                 has_transferred_leadership = True
-                mesh.core_program(mesh.leader()).replica_server.transfer_leadership()
+                mesh.control_plane(mesh.leader()).replica_server.transfer_leadership()
             elif self._is_partitioned and now >= changed_at + CHANGE_INTERVAL_S:
                 changed_at = now
                 requests.add(asyncio.create_task(self._replace_configuration()))
@@ -162,7 +162,7 @@
 
     def _record_leaders(self) -> None:
         for address in self.mesh.core:
-            if self.mesh.core_program(address).replica_server.replica.role is Role.LEADER:
+            if self.mesh.control_plane(address).replica_server.replica.role is Role.LEADER:
                 self._last_led_at[address] = self.mesh.loop.time()
 
     # --- calls ---
@@ -183,7 +183,7 @@
     async def _measure_convergence(self, returned_at: float) -> None:
         """Submit a change when the replica returns, and measure until the replica has it."""
         await self._replace_configuration()
-        state = self.mesh.core_program(self.isolated).replica_server.state
+        state = self.mesh.control_plane(self.isolated).replica_server.state
         while state.revision < self._revision and self.mesh.loop.time() < returned_at + RECOVERY_S:
             await asyncio.sleep(0.01)
         self.report.convergence_s = self.mesh.loop.time() - returned_at
--- a/simulation/keyed_operations.py
+++ b/simulation/keyed_operations.py
@@ -106,7 +106,7 @@
 
 
 @dataclass
-class KeyedFigures:
+class KeyedCounts:
     """Counts of one schedule."""
 
     keys: int = 0
@@ -129,9 +129,9 @@
         super().__init__(seed, replica_count)
         self.proxies = [Proxy(self, number) for number in range(proxies)]
 
-    def _call_later(self, seconds: float, work: Callable[[], object]) -> None:
+    def _call_later(self, seconds: float, callback: Callable[[], object]) -> None:
         self._events += 1
-        heapq.heappush(self._due, (self.now + seconds, self._events, work))
+        heapq.heappush(self._due, (self.now + seconds, self._events, callback))
 
     def _step(self) -> None:
         while self._due and self._due[0][0] <= self.now + STEP_S:
@@ -242,7 +242,7 @@
         self._call_later(NETWORK_DELAY_S, query)
 
     def execute_at_backend(self, proxy: Proxy, key: str, incarnation: int) -> None:
-        kind = self.rng.choice(["served"] * 6 + ["lost", "turned away", "turned away later"])
+        kind = self.rng.choice(["served"] * 6 + ["lost", "rejected", "rejected later"])
 
         def finish() -> None:
             if incarnation != proxy.incarnation or not proxy.is_up:
@@ -256,7 +256,7 @@
             else:
                 proxy.carry_out(operations.on_not_executed(key), incarnation)
 
-        if not kind.startswith("turned"):
+        if not kind.startswith("rejected"):
             # The request is on its way to the backend, also if the proxy stops now.
             self._call_later(NETWORK_DELAY_S, lambda: self._start_execution(key))
         self._call_later(self.rng.uniform(0.005, 0.4), finish)
@@ -271,26 +271,24 @@
 
     # --- results ---
 
-    def check_keyed_invariants(self) -> KeyedFigures:
+    def check_keyed_invariants(self) -> KeyedCounts:
         """Return the counts.
 
         Raises InvariantError where responses differ or a key got one without execution.
         """
-        figures = KeyedFigures(
-            len({one.key for one in self.attempts}), sum(map(len, self.executions.values()))
-        )
+        counts = KeyedCounts(len({one.key for one in self.attempts}), sum(map(len, self.executions.values())))
         for key, responses in self.responses.items():
             if len(responses) > 1:
                 raise InvariantError(f"seed {self.seed}: {key} had the answers {responses}")
             if key not in self.executions:
                 raise InvariantError(f"seed {self.seed}: {key} was answered and never ran")
         for one in self.attempts:
-            figures.outcomes[one.outcome] = figures.outcomes.get(one.outcome, 0) + 1
-        figures.answered_attempts = figures.outcomes.get("answer", 0)
-        return figures
+            counts.outcomes[one.outcome] = counts.outcomes.get(one.outcome, 0) + 1
+        counts.answered_attempts = counts.outcomes.get("answer", 0)
+        return counts
 
 
-def run_keyed_schedule(seed: int, seconds: float = 12.0, settle_s: float = 4.5) -> KeyedFigures:
+def run_keyed_schedule(seed: int, seconds: float = 12.0, settle_s: float = 4.5) -> KeyedCounts:
     """Play random losses of a replica, of all power and of proxies, with keyed requests all the time.
 
     Raises InvariantError.
@@ -313,8 +311,8 @@
         if lost is None and rng.random() < 0.15:
             lost = mesh.pick_victim()
             restore_at = mesh.now + rng.uniform(0.2, 2.0)
-            mesh.inject_fault(how := rng.choice(FAULTS), lost)
-            if how == "all":
+            mesh.inject_fault(fault := rng.choice(FAULTS), lost)
+            if fault == "all":
                 for proxy in mesh.proxies:
                     proxy.is_up = False
         if rng.random() < 0.1:
--- a/simulation/mesh.py
+++ b/simulation/mesh.py
@@ -61,8 +61,8 @@
             )
         )
 
-    def run(self, work: Coroutine[Any, Any, Result]) -> Result:
-        return self.loop.run_until_complete(work)
+    def run(self, coroutine: Coroutine[Any, Any, Result]) -> Result:
+        return self.loop.run_until_complete(coroutine)
 
     def wait(self, seconds: float) -> None:
         self.run(asyncio.sleep(seconds))
@@ -97,7 +97,7 @@
 
         self.loop.run_as(process, start_program)
 
-    def plane(self, address: str) -> DataPlane:
+    def data_plane(self, address: str) -> DataPlane:
         program = self.programs[address]
         assert isinstance(program, DataPlane)
         return program
@@ -124,7 +124,7 @@
     def thaw(self, address: str) -> None:
         self.loop.thaw(self._processes[address])
 
-    def core_program(self, address: str) -> ControlPlane:
+    def control_plane(self, address: str) -> ControlPlane:
         program = self.programs[address]
         assert isinstance(program, ControlPlane)
         return program
@@ -155,8 +155,8 @@
         self.run(self.start_backend(address))
         return backend
 
-    def as_backend(self, address: str, work: Coroutine[Any, Any, None]) -> None:
-        self.loop.run_as(self._applications[address], lambda: work)
+    def as_backend(self, address: str, coroutine: Coroutine[Any, Any, None]) -> None:
+        self.loop.run_as(self._applications[address], lambda: coroutine)
 
     # --- the network ---
 
@@ -165,8 +165,8 @@
         self.bandwidth_mbps = bandwidth_mbps
         self.loop.link_bytes_per_s = dict.fromkeys(self.planes, bandwidth_mbps * 1e6 / 8.0)
 
-    def partition(self, ones: list[str], others: list[str]) -> None:
-        for machine in ones:
+    def partition(self, machines: list[str], others: list[str]) -> None:
+        for machine in machines:
             for other in others:
                 if machine != other:
                     self.loop.partitions |= {(machine, other), (other, machine)}
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -68,16 +68,16 @@
         self,
         list_addresses: Callable[[], list[str]],
         rng: random.Random,
-        answer_loss_share: Callable[[], float] = lambda: 0.0,
+        response_loss_share: Callable[[], float] = lambda: 0.0,
     ) -> None:
         """Set up an operator without calls.
 
-        `list_addresses`: returns the control planes as currently listed. `answer_loss_share`: returns the
+        `list_addresses`: returns the control planes as currently listed. `response_loss_share`: returns the
         share of responses to changes that is lost at present.
         """
         self._list_addresses = list_addresses
         self._rng = rng
-        self._answer_loss_share = answer_loss_share
+        self._response_loss_share = response_loss_share
         self.calls: list[Call] = []
 
     async def replace(self, order: Order, timeout_s: float = 20.0) -> Call:
@@ -91,7 +91,7 @@
         """Send one request to that control plane, without following redirects."""
         call = Call(order)
         self.calls.append(call)
-        exchange, call.body = await self._send(address, *_request_parts(order))
+        exchange, call.body = await self._send(address, *_build_request(order))
         call.exchanges.append(exchange)
         call.status = 0 if exchange.is_lost else exchange.status
         return call
@@ -100,12 +100,12 @@
         self.calls.append(call)
         deadline, backoff_s, previous_address = time.monotonic() + timeout_s, BACKOFF_MIN_S, ""
         while time.monotonic() < deadline:
-            others = [
+            candidates = [
                 address for address in self._list_addresses() if address != previous_address
             ] or self._list_addresses()
-            address = previous_address = self._rng.choice(others)
+            address = previous_address = self._rng.choice(candidates)
             for _ in range(MAX_REDIRECTS + 1):
-                exchange, call.body = await self._send(address, *_request_parts(call.order))
+                exchange, call.body = await self._send(address, *_build_request(call.order))
                 call.exchanges.append(exchange)
                 if exchange.status != 307 or exchange.is_lost:
                     break
@@ -129,14 +129,14 @@
             response_headers |= headers_received
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
-        is_lost = status != 0 and method == "POST" and self._rng.random() < self._answer_loss_share()
+        is_lost = status != 0 and method == "POST" and self._rng.random() < self._response_loss_share()
         if is_lost:
             await asyncio.sleep(max(started_at + REQUEST_TIMEOUT_S - time.monotonic(), 0.0))
         location = response_headers["location"].removeprefix("http://").partition(":")[0]
         return Exchange(started_at, time.monotonic(), address, status, location, is_lost), body_received
 
 
-def _request_parts(order: Order | None) -> tuple[str, str, dict[str, str], bytes]:
+def _build_request(order: Order | None) -> tuple[str, str, dict[str, str], bytes]:
     """Return method, path, headers and body of a replacement, or of a read."""
     if order is None:
         return "GET", "/Configuration.Describe", {}, b""
--- a/simulation/retry_budget.py
+++ b/simulation/retry_budget.py
@@ -110,7 +110,7 @@
         self.wanted_retries = 0
         self.messages = 0
         self.allocator: BudgetAllocator | None = BudgetAllocator(RATIO, SLACK, WINDOW_S, -100.0)
-        self._deposed: tuple[BudgetAllocator, float] | None = None  # and when it is told
+        self._former_leader: tuple[BudgetAllocator, float] | None = None  # and when it is told
         self.proxies = [Proxy(self, number) for number in range(size)]
 
     def advance(self, seconds: float, step_s: float = 0.05) -> None:
@@ -123,7 +123,7 @@
     def change_leader(self) -> None:
         """Elect another leader; the former one still answers requests for up to a second."""
         if self.allocator is not None:
-            self._deposed = self.allocator, self.now + self.rng.uniform(0.0, 1.0)
+            self._former_leader = self.allocator, self.now + self.rng.uniform(0.0, 1.0)
         self.allocator = BudgetAllocator(RATIO, SLACK, WINDOW_S, self.now)
 
     # --- the network ---
@@ -148,8 +148,8 @@
 
     def _deliver(self, message: LeaseRequest, reply_once: Callable[[Message], None]) -> None:
         allocator = self.allocator
-        if self._deposed is not None and self.now < self._deposed[1] and self.rng.random() < 0.5:
-            allocator = self._deposed[0]
+        if self._former_leader is not None and self.now < self._former_leader[1] and self.rng.random() < 0.5:
+            allocator = self._former_leader[0]
         reply: Message = (
             CallRejected("nobody leads")
             if allocator is None
@@ -189,26 +189,26 @@
     mesh = BudgetMesh(size, seed, NetworkFaults(rng.choice([0.0, 0.1, 0.5]), rng.choice([0.0, 0.1, 0.4])))
     requests_per_s = rng.choice([30.0, 150.0, 600.0]) / size
 
-    def traffic(factor: float) -> None:
+    def set_traffic(factor: float) -> None:
         for proxy in mesh.proxies:
             proxy.requests_per_s = requests_per_s * factor * rng.uniform(0.2, 1.8)
 
-    def demands() -> None:
+    def set_demands() -> None:
         share = rng.choice([0.0, 0.1, 0.5, 1.0])
         for proxy in mesh.proxies:
             proxy.wanted_retries_per_s = 2000.0 / size if rng.random() < share else 0.0
 
-    traffic(1.0)
-    demands()
+    set_traffic(1.0)
+    set_demands()
     while mesh.now < seconds:
-        match rng.choice(["traffic", "needs", "needs", "leader", "nobody leads", "restarts"]):
+        match rng.choice(["traffic", "demand", "demand", "leader", "no leader", "restarts"]):
             case "traffic":
-                traffic(rng.choice([0.0, 0.1, 1.0, 1.0, 3.0]))
-            case "needs":
-                demands()
+                set_traffic(rng.choice([0.0, 0.1, 1.0, 1.0, 3.0]))
+            case "demand":
+                set_demands()
             case "leader":
                 mesh.change_leader()
-            case "nobody leads":
+            case "no leader":
                 mesh.allocator = None
             case _:
                 share = rng.choice([0.1, 0.5, 1.0])
--- a/simulation/virtual_network.py
+++ b/simulation/virtual_network.py
@@ -171,18 +171,18 @@
             )
             return attempt
 
-        def connected() -> None:
+        def on_connected() -> None:
             if attempt.is_abandoned:
                 return
             attempt.is_written = True
-            self.after_delay(arrived)
+            self.after_delay(on_arrived)
 
-        def arrived() -> None:
+        def on_arrived() -> None:
             """A request that is completely written arrives, also when its attempt was abandoned."""
             server = self.servers[address]
             if address in self.down_addresses or draw() < faults.no_response_share:
                 return
-            call = server.arrive(request, key, replied)
+            call = server.arrive(request, key, on_replied)
             if call.entry.ended_at is None:
                 attempt.server, attempt.call = server, call
                 if attempt.is_abandoned:
@@ -192,11 +192,11 @@
                     lambda: attempt.finish(result_of_failure(AttemptStage.WRITTEN, FailureKind.RESET))
                 )
 
-        def replied(reply: Reply) -> None:
+        def on_replied(reply: Reply) -> None:
             if draw() >= faults.no_response_share:
                 self.after_delay(lambda: attempt.finish(read_reply(reply), reply))
 
-        self.after_delay(connected)
+        self.after_delay(on_connected)
         return attempt
 
 
--- a/simulation/virtual_transport.py
+++ b/simulation/virtual_transport.py
@@ -32,10 +32,12 @@
         return f"{self.name} on {self.machine}"
 
 
-OUTSIDE = Process("", "the world")
+OUTSIDE_PROCESS = Process("", "outside")
 
 
-CURRENT_PROCESS: contextvars.ContextVar[Process] = contextvars.ContextVar("here", default=OUTSIDE)
+CURRENT_PROCESS: contextvars.ContextVar[Process] = contextvars.ContextVar(
+    "current_process", default=OUTSIDE_PROCESS
+)
 
 
 class VirtualSocket:
--- a/stories/client/test_client.py
+++ b/stories/client/test_client.py
@@ -208,7 +208,7 @@
 
         task = mesh.loop.create_task(serve_and_drain())
         mesh.wait(1.0)
-        inbound_proxy = mesh.plane(address).inbound_proxy
+        inbound_proxy = mesh.data_plane(address).inbound_proxy
         assert inbound_proxy.backend is not None and inbound_proxy.backend.instance == "i-example"
         stopping.set()
         mesh.wait(1.0)
--- a/stories/control/test_leader_contact.py
+++ b/stories/control/test_leader_contact.py
@@ -56,8 +56,8 @@
         others = make_operator(mesh, *followers(mesh))
         frozen = make_operator(mesh, old)
         # Given a frozen leader, and requests that it receives when it is thawed
-        plane = mesh.plane(mesh.planes[0])
-        internal_address = mesh.core_program(old).node_settings.internal_address("controlplane")
+        plane = mesh.data_plane(mesh.planes[0])
+        internal_address = mesh.control_plane(old).node_settings.internal_address("controlplane")
         replies: list[object] = []
         mesh.freeze(old)
         mesh.wait(5.0)
@@ -116,7 +116,7 @@
         mesh.kill(leader, silent=True)
         mesh.loop.unpowered.add(leader)
         mesh.wait(0.3)
-        assert mesh.core_program(follower).replica_server.contact_status().contact is LeaderContact.ELECTING
+        assert mesh.control_plane(follower).replica_server.contact_status().contact is LeaderContact.ELECTING
         # Then a client waits for the next leader
         after = mesh.run(one.request_once(follower, None)).exchanges[0]
         assert after.status == 200 or (after.status == 307 and after.location != leader), after
@@ -152,14 +152,14 @@
         mesh.wait(10.0)
         # Then neither leads or accepts anything, alone or together
         for address in mesh.core:
-            assert not mesh.core_program(address).replica_server.replica.is_leading
+            assert not mesh.control_plane(address).replica_server.replica.is_leading
         isolated_pair = make_operator(mesh, isolated, wiped)
         assert mesh.run(isolated_pair.replace(Order(1, 2, make_body(2, "new")), 3.0)).status == 0
         # And once all are connected there is one group, with everything that was acknowledged
         mesh.heal()
         mesh.wait(6.0)
         assert mesh.run(make_operator(mesh).replace(Order(1, 2, make_body(2, "new")))).status == 200
-        replicas = [mesh.core_program(address).replica_server.replica for address in mesh.core]
+        replicas = [mesh.control_plane(address).replica_server.replica for address in mesh.core]
         assert {replica.log.entry(1) for replica in replicas} == {replicas[0].log.entry(1)}
 
 
@@ -180,8 +180,8 @@
         mesh.loop.partitions -= {(isolated, starting), (starting, isolated)}
         mesh.partition([starting], [*others, mesh.planes[1]])
         mesh.restart(starting)
-        plane = mesh.plane(starting)
-        plane.directory.seeds = [mesh.core_program(isolated).node_settings.internal_address("controlplane")]
+        plane = mesh.data_plane(starting)
+        plane.directory.seeds = [mesh.control_plane(isolated).node_settings.internal_address("controlplane")]
         mesh.wait(2.0)
         # Then it serves by the newest configuration that it knows
         assert isinstance(plane, DataPlane) and plane.directory.revision == 1 and plane.is_serving()
--- a/stories/host/test_exchange_table.py
+++ b/stories/host/test_exchange_table.py
@@ -42,7 +42,7 @@
 @test("{hop}: every possible cell is as the table says, in every form of its event")
 def _(hop: str = each(*TABLES)) -> None:
     results = play([hop])
-    assert not results.wrong and results.right == results.cells == len(list(cells(hop)))
+    assert not results.violations and results.passed == results.cells == len(list(cells(hop)))
 
 
 @test("{hop}: generated plans break no invariant")
--- a/stories/mesh/test_backends.py
+++ b/stories/mesh/test_backends.py
@@ -55,11 +55,11 @@
         # When another instance starts there, and gets a few hundred requests
         mesh.replace_backend(crashed)
         mesh.wait(1.5)
-        before = mesh.plane(crashed).inbound_proxy.connections_opened()
+        before = mesh.data_plane(crashed).inbound_proxy.connections_opened()
         mesh.run(mesh.run_traffic(12.0, 30.0, at=[crashed]))
         # Then few connections are opened
         opened, runs = (
-            mesh.plane(crashed).inbound_proxy.connections_opened() - before,
+            mesh.data_plane(crashed).inbound_proxy.connections_opened() - before,
             mesh.backends[crashed].runs,
         )
         assert runs >= 60 and opened <= 0.2 * runs, (opened, runs)
@@ -101,7 +101,7 @@
 
         mesh.as_backend(address, stop_listening())
         mesh.run(mesh.run_traffic(1.0, 60.0))
-        inbound_proxy = mesh.plane(address).inbound_proxy
+        inbound_proxy = mesh.data_plane(address).inbound_proxy
         assert inbound_proxy.backend is not None and inbound_proxy.backend.state == "down"
         mesh.as_backend(address, backend.listen())
         mesh.wait(1.5)
--- a/stories/mesh/test_data_plane_process.py
+++ b/stories/mesh/test_data_plane_process.py
@@ -46,7 +46,7 @@
 def _() -> None:
     with simulated_mesh(seed=18, core=3, planes=3) as mesh:
         mesh.run(mesh.start_configured())
-        plane = mesh.plane(mesh.planes[0])
+        plane = mesh.data_plane(mesh.planes[0])
         plane.apply_settings(
             dataclasses.replace(plane.node_settings, seed_nodes=[f"{mesh.core[2]}:{CONTROL_PORT}"])
         )
@@ -59,7 +59,7 @@
 def _() -> None:
     with simulated_mesh(seed=20, core=3, planes=1) as mesh:
         mesh.run(mesh.start_configured())
-        plane = mesh.plane(mesh.planes[0])
+        plane = mesh.data_plane(mesh.planes[0])
         with raises(ExceptionGroup) as caught:
             mesh.run(DataPlane(plane.node_settings, mesh.loop).start())
         faults = caught.raised.exceptions
--- a/stories/mesh/test_link_congestion.py
+++ b/stories/mesh/test_link_congestion.py
@@ -88,7 +88,7 @@
         """Return how many connections between the data planes were closed since their start, by reason."""
         closed: Counter[str] = Counter()
         for address in self.mesh.planes:
-            closed += self.mesh.plane(address).connections.statistics.closed
+            closed += self.mesh.data_plane(address).connections.statistics.closed
         return closed
 
 
--- a/stories/mesh/test_requests.py
+++ b/stories/mesh/test_requests.py
@@ -86,7 +86,7 @@
 
         statuses = mesh.run(send_all())
         for address in mesh.planes:
-            for service_client in mesh.plane(address).outbound_proxy._service_clients.values():
+            for service_client in mesh.data_plane(address).outbound_proxy._service_clients.values():
                 for name, count in service_client.report().items():
                     if isinstance(count, int):
                         counts[name] = counts.get(name, 0) + count
@@ -170,7 +170,7 @@
         # Given a mesh with traffic, whose leader has led for longer than any earlier lease lasts
         mesh.run(mesh.start_configured())
         mesh.run(mesh.run_traffic(26.0, 80.0))
-        needy, idle = (mesh.plane(address) for address in mesh.planes[:2])
+        needy, idle = (mesh.data_plane(address) for address in mesh.planes[:2])
         # When one proxy has used up its retries
         share = needy.outbound_proxy.budget_shares.for_service("pitches")
         before = needy.outbound_proxy.budget_shares.report()["pitches"]
--- a/tests/client/test_former_names.py
+++ b/tests/client/test_former_names.py
@@ -139,7 +139,7 @@
         with pytest.warns(DeprecationWarning, match="beat"):
             task = mesh.loop.create_task(leaving.serve_until(side, stopping, drain_s=2.0))
             mesh.wait(1.0)
-        inbound_proxy = mesh.plane(address).inbound_proxy
+        inbound_proxy = mesh.data_plane(address).inbound_proxy
         assert inbound_proxy.backend is not None and inbound_proxy.backend.instance == "i-example"
         stopping.set()
         mesh.wait(1.0)
--- a/tests/control/test_golden_data_directory.py
+++ b/tests/control/test_golden_data_directory.py
@@ -211,7 +211,7 @@
 
 def check_nothing_is_lost(mesh: SimulatedMesh) -> None:
     """Check configurations and valid claims that were acknowledged when the directories were written."""
-    state = mesh.core_program(leader_within(mesh, 1.0)).replica_server.state
+    state = mesh.control_plane(leader_within(mesh, 1.0)).replica_server.state
     for _, revision, body in EXPECTED["acknowledged"]["configurations"]:
         assert state.was_accepted(revision, bytes.fromhex(body["hex"])), revision
     keys = {key: to_plain(claim) for key, claim in state.keys.items()}
@@ -239,7 +239,7 @@
     for _ in range(100):
         mesh.wait(0.01)
         if (
-            len({program.replica_server.state.snapshot() for program in map(mesh.core_program, mesh.core)})
+            len({program.replica_server.state.snapshot() for program in map(mesh.control_plane, mesh.core)})
             == 1
         ):
             return
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -32,46 +32,46 @@
 
 
 def test_the_same_seed_plays_the_same_schedule() -> None:
-    def story(seed: int) -> list[Any]:
+    def run_seed(seed: int) -> list[Any]:
         services_simulation = ServicesSimulation(seed)
         services_simulation.play()
         return [*services_simulation.request_log.entries, *services_simulation.client_log.attempts]
 
-    assert story(7) == story(7) != story(8)
+    assert run_seed(7) == run_seed(7) != run_seed(8)
 
 
-def sends_charges_again(request: Request) -> None:
+def allow_second_execution(request: Request) -> None:
     """Planted defect: treats no attempt as possibly executed."""
 
 
-def keeps_its_client(self: Any, active: Any) -> Any:
+def keep_client(self: Any, active: Any) -> Any:
     self._by_client.pop(active.client, None)
     return active.client
 
 
 @pytest.mark.parametrize(
-    ("owner", "name", "broken", "said"),
+    ("owner", "name", "defect", "expected_text"),
     [
-        (Request, "first_execution", sends_charges_again, "rule 2"),
+        (Request, "first_execution", allow_second_execution, "rule 2"),
         (
             EndpointLists,
             "_with_shared_drain",
             lambda self, server, address: server,
             "drains or is not listed",
         ),
-        (BalancerHost, "_detach_client", keeps_its_client, "a second final answer"),
+        (BalancerHost, "_detach_client", keep_client, "a second final answer"),
     ],
 )
 def test_a_planted_defect_is_found(
-    owner: type[Any], name: str, broken: Callable[..., Any], said: str
+    owner: type[Any], name: str, defect: Callable[..., Any], expected_text: str
 ) -> None:
-    with mock.patch.object(owner, name, broken):
+    with mock.patch.object(owner, name, defect):
         for seed in range(1, 300):
             try:
-                found = [f"rule {violation.rule}" for violation in play(seed)]
+                problems = [f"rule {violation.rule}" for violation in play(seed)]
             except InvariantError as problem:
-                found = [str(problem)]
-            if any(said in one for one in found):
+                problems = [str(problem)]
+            if any(expected_text in text for text in problems):
                 return
     raise AssertionError("no schedule showed it")
 
@@ -79,16 +79,16 @@
 def test_virtual_time_that_stands_still_raises_an_error() -> None:
     clock = VirtualClock()
 
-    def again() -> None:
-        clock.after(0.0, again)
+    def reschedule() -> None:
+        clock.after(0.0, reschedule)
 
-    again()
+    reschedule()
     with pytest.raises(RuntimeError, match="stands still"):
         clock.run(clock.now_ms() + 1.0)
 
 
 def test_a_failing_seed_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(1, 5) == 0
-    with mock.patch.object(Request, "first_execution", sends_charges_again):
+    with mock.patch.object(Request, "first_execution", allow_second_execution):
         assert main(1, 100) == 1
     assert "seed " in capsys.readouterr().out
