--- a/simulation/claim_protocols.py
+++ b/simulation/claim_protocols.py
@@ -1,12 +1,12 @@
-"""Model of three protocols that replicate a claim to a majority before it is executed: what each costs.
+"""Cost model of three protocols that replicate a claim to a majority before it is executed.
 
-- `log`: the leader's log, as in service.
+- `log`: the leader's log, the protocol in production.
 - `registers`: no leader; one consensus instance per key. The first value wins in one round if all three
   members accept it at once, else it takes two rounds (Fast Paxos, Lamport 2006).
 - `holders`: each third of the keys has a lease holder that orders its claims.
 
 Times are virtual. A disk syncs one batch at a time; writes that arrive meanwhile go with the next. The model
-gives times and counts only. Faults of the protocol in service are simulated elsewhere.
+gives times and counts only. Faults of the production protocol are simulated elsewhere.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 DISK_SYNC_S = 0.001
 MEMBER_COUNT = 3
 ELECTION_DURATION_S = 0.58  # until there is a new leader: the median in simulation/replica_group.py
-HOLDER_LEASE_S = 2.0  # claims on a lost holder's keys wait for its end
-MESSAGE_PROCESSING_S = 0.00015  # processor time for one message: read, decide, write
+HOLDER_LEASE_S = 2.0  # claims on a lost holder's keys wait until its lease ends
+MESSAGE_PROCESSING_S = 0.00015  # processor time to read, handle and write one message
 
 
 @dataclass
@@ -93,7 +93,7 @@
 def order_claim(
     replicas: SimulatedReplicas, zone: int, first: Member, others: list[Member], started_at: float
 ) -> None:
-    """Order a claim at `first`, which replicates it to `others`; it is done when two disks have it."""
+    """Order a claim at `first`, which replicates it to `others`; two synced disks commit it."""
     acknowledgements = 0
 
     def on_acknowledged() -> None:
--- a/simulation/client_sessions.py
+++ b/simulation/client_sessions.py
@@ -1,8 +1,8 @@
 """Client sessions for the model checker: changes that are resent, lost responses, reads at any replica.
 
-It is the group of `simulation.model_checker` together with the modules in service between it and its clients:
+It is the group of `simulation.model_checker` together with the production modules between it and its clients:
 `PendingRequests` and the state machine. There is no time in the model, so no replica ever finds out that it
-is isolated: each one that takes itself for the leader accepts changes and reads, which is the worst case of
+is isolated: each one that considers itself the leader accepts changes and reads, which is the worst case of
 any clock. A response counts as delivered whether it arrives or not, and a change may be sent again at any
 moment, to any replica that accepts it. This covers lost responses, resends to another replica, and resends of
 changes that already had a response.
@@ -10,10 +10,10 @@
 Two clients send different configurations with one revision on one base, with bodies of one CRC-32; a third
 builds on that revision. After each step, beside the checker's own invariants, these must hold:
 
-- a change that is or ever becomes accepted was never rejected, and is never rejected later (`taken is not
-  refused`);
-- what is acknowledged is accepted (`acknowledged is taken`), and of two changes on one base one is (`one on a
-  base`);
+- a change that is or ever becomes accepted was never rejected, and is never rejected later (`accepted is not
+  rejected`);
+- an acknowledged change is accepted (`acknowledged is accepted`), and at most one of several changes on one
+  base is (`one change on a base`);
 - a read returns a configuration that is committed, and none older than what was acknowledged before it began
   (`reads are current`).
 
@@ -74,7 +74,7 @@
 
 @dataclass
 class SessionLimits:
-    """How many submissions, reads and compactions may still happen in one history."""
+    """How many submissions, reads and compactions may still happen in a history."""
 
     submissions: int = 3
     reads: int = 1
@@ -256,8 +256,8 @@
         self.observations.response_count += 1
         if state.revision < pending_read.min_revision:
             self.fail(
-                f"reads are current: {state.revision} was told after "
-                f"{pending_read.min_revision} was acknowledged"
+                f"reads are current: revision {state.revision} was read after "
+                f"revision {pending_read.min_revision} was acknowledged"
             )
         self.observations.observed_reads.append((state.revision, state.body))
 
@@ -265,17 +265,17 @@
         super()._check_invariants(led_logs, before)
         accepted = self._accepted_orders()
         for order in self.observations.rejected & accepted:
-            self.fail(f"taken is not refused: order {order} was")
+            self.fail(f"accepted is not rejected: order {order} is both")
         for order in self.observations.acknowledged - accepted:
-            self.fail(f"acknowledged is taken: order {order} is not")
+            self.fail(f"acknowledged is accepted: order {order} is not accepted")
         for revision, body in self.observations.observed_reads:
             if revision and not any(
                 ORDERS[one].revision == revision and ORDERS[one].body == body for one in accepted
             ):
-                self.fail(f"reads are current: {revision} was told and is not taken")
+                self.fail(f"reads are current: revision {revision} was read but is not accepted")
         bases = [ORDERS[order].base_revision for order in accepted]
         if len(bases) != len(set(bases)):
-            self.fail(f"one on a base: orders {sorted(accepted)} were taken")
+            self.fail(f"one change on a base: orders {sorted(accepted)} were accepted")
 
     def _accepted_orders(self) -> set[int]:
         """Return the accepted changes, by a plain register over the committed entries."""
@@ -294,7 +294,7 @@
     def key(self) -> bytes:
         """Return the same bytes for equivalent states.
 
-        Of read rounds it counts which followers have answered, not the rounds' numbers.
+        For read rounds it includes which followers have responded, not the rounds' numbers.
         """
         sessions: list[Any] = []
         for node, pending_requests in zip(self.nodes, self.pending_requests, strict=True):
--- a/simulation/clients.py
+++ b/simulation/clients.py
@@ -1,6 +1,6 @@
 """Common parts of the simulations of balancer hosts: clients, checked senders, random faults, final checks.
 
-`simulation.services`, `simulation.planning` and `simulation.failing_servers` run the hosts in service in
+`simulation.services`, `simulation.planning` and `simulation.failing_servers` run the production hosts in
 virtual time; each adds its own faults and events.
 """
 
@@ -63,7 +63,7 @@
         self._end(502)
 
     def is_pending(self) -> bool:
-        """Tell whether it has no final response yet."""
+        """Return whether it has no final response yet."""
         return self.attempt.outcome is ClientOutcome.PENDING
 
     def check_deadline(self) -> None:
@@ -71,16 +71,16 @@
         if self.is_pending() and self.clock.now() > self.attempt.deadline_at:
             late_s = self.clock.now() - self.attempt.deadline_at
             raise InvariantError(
-                f"{self.attempt.request} has no final response {late_s:.4f} s after its client gave up"
+                f"{self.attempt.request} has no final response {late_s:.4f} s after its deadline"
             )
 
     def _end(self, status: int) -> None:
         now = self.clock.now()
         if not self.is_pending():
-            raise InvariantError(f"{self.attempt.request} has a second final answer")
+            raise InvariantError(f"{self.attempt.request} got a second final response")
         if now > self.attempt.deadline_at:
             raise InvariantError(
-                f"{self.attempt.request} is answered {now - self.attempt.deadline_at:.4f} s too late"
+                f"{self.attempt.request} got its final response {now - self.attempt.deadline_at:.4f} s late"
             )
         self.attempt.outcome, self.attempt.status, self.attempt.ended_at = ClientOutcome.ANSWERED, status, now
 
@@ -91,14 +91,14 @@
     def __init__(self, clock: VirtualClock, log: ClientLog) -> None:
         self._clock = clock
         self._log = log
-        self._watched: list[SimulatedRequest] = []  # that had no final response when last checked
+        self._watched: list[SimulatedRequest] = []  # those without a final response at the last check
 
     def create_request(
         self, client: str, class_index: int, deadline_s: float, arrived_at: float | None = None
     ) -> SimulatedRequest:
         """Log a new request.
 
-        `arrived_at`: on the clock of the host that receives it, if that has a clock of its own.
+        `arrived_at`: the time on the clock of the host that receives it, if that host has its own clock.
         """
         number = len(self._log.attempts) + 1
         now = self._clock.now()
@@ -149,9 +149,9 @@
         until_ms: float,
         done: Callable[[AttemptResult, Reply | None], None],
     ) -> VirtualAttempt:
-        """Send an attempt over the simulated network. Raises InvariantError where it must not be sent."""
+        """Send an attempt over the simulated network. Raises InvariantError if it must not be sent."""
         if not request.is_pending():
-            raise InvariantError(f"{request.attempt.request} is sent after its final answer")
+            raise InvariantError(f"{request.attempt.request} is sent after its final response")
         self.check_server(server, address, request)
         return self.network.send(address, request.attempt.request, request.attempt.key, done)
 
@@ -159,7 +159,7 @@
         """Raise InvariantError unless the server is ready in the host's own list."""
         endpoint = self.servers_by_name.get(server)
         if endpoint is None or endpoint.state is not EndpointState.READY:
-            raise InvariantError(f"{self.name} sends to {server}, which its list does not hold ready")
+            raise InvariantError(f"{self.name} sends to {server}, which is not ready in its list")
 
     def close_idle(self, server: str) -> None:
         """Do nothing: the simulated network has no idle connections."""
@@ -181,10 +181,10 @@
 def check_at_end(
     senders: Iterable[CheckedSender], client_log: ClientLog, request_log: RequestLog, faults: Faults
 ) -> list[RuleViolation]:
-    """Return the rules that the logs show to be broken. Raises InvariantError where a host is not empty."""
+    """Return the rules that the logs show to be broken. Raises InvariantError if a host is not empty."""
     for sender in senders:
         if sender.host.open_requests() or not sender.host.is_empty():
-            raise InvariantError(f"{sender.name} still holds something at the end")
+            raise InvariantError(f"{sender.name} has open requests or is not empty at the end")
     # Two messages, to connect and to write, each with the maximum delay.
     round_trip_s = 2.0 * (faults.delay_ms[1] + faults.late_ms) / 1000.0
     return check_rules(client_log, request_log, network_slack_s=round_trip_s)
--- a/simulation/event_loop.py
+++ b/simulation/event_loop.py
@@ -1,9 +1,10 @@
 """An asyncio event loop in virtual time, with the network of a whole fleet in it.
 
-The programs are those in service; only transports and timers are replaced. Time passes only when no callback
-is ready, so a minute of a fleet takes seconds, and one seed gives one history. Each callback belongs to the
-process that scheduled it (recorded in a context variable), so a process can be killed: its callbacks are
-cancelled, and the other ends of its connections see a reset, or nothing if the machine has lost power.
+The programs are the production ones; only transports and timers are replaced. Time passes only when no
+callback is ready, so a minute of a fleet takes seconds, and one seed always gives the same history. Each
+callback belongs to the process that scheduled it (recorded in a context variable), so a process can be
+killed: its callbacks are cancelled, and the other ends of its connections see a reset, or nothing if the
+machine has lost power.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class Deadlock(Exception):
-    """A task waits though no callback is scheduled."""
+    """A task waits, but no callback is scheduled that could resume it."""
 
 
 class _VirtualSelector(selectors.DefaultSelector):
@@ -39,7 +40,7 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise Deadlock("no callback is scheduled")
+            raise Deadlock("a task waits, but no callback is scheduled")
         self._loop.now += max(timeout, 0.0)
         return []
 
@@ -50,11 +51,13 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
-        # (sender, receiver): machines between which messages are blocked in this direction.
+        # (sender, receiver): pairs of machines between which messages are blocked in this direction.
         self.partitions: set[tuple[str, str]] = set()
-        # By machine: bytes per second that it can send to others; a machine that is missing sends at once.
+        # By machine: bytes per second that it can send to others; a machine without an entry sends at once.
         self.link_bytes_per_s: dict[str, float] = {}
-        self._link_free_at: dict[str, float] = {}  # by machine: when all that it has sent has left it
+        self._link_free_at: dict[
+            str, float
+        ] = {}  # by machine: when its link has transmitted everything sent so far
         self._selector = _VirtualSelector(self)
         self._listeners: dict[
             tuple[str, int], tuple[Process, contextvars.Context, Callable[[VirtualTransport], None]]
@@ -123,7 +126,7 @@
         return ONE_WAY_DELAY_S if one.machine != other.machine else ONE_WAY_DELAY_S / 10
 
     def arrival_time(self, sender: Process, receiver: Process, size: int) -> float:
-        """Return when `size` bytes that are sent now arrive, behind all that their machine sent before."""
+        """Return when `size` bytes that are sent now arrive, after everything their machine sent before."""
         rate = self.link_bytes_per_s.get(sender.machine)
         if rate is None or sender.machine == receiver.machine:
             return self.now + self.delay(sender, receiver)
@@ -172,7 +175,7 @@
             await asyncio.sleep(0.05)  # until the connecting side's own timeout
         listener_entry = self._listeners.get((host, port))
         if listener_entry is None:
-            raise ConnectionRefusedError(111, f"{host}:{port} refuses")
+            raise ConnectionRefusedError(111, f"{host}:{port} refused the connection")
         process, context, on_accept = listener_entry
         local, remote = (
             VirtualTransport(self, current, contextvars.copy_context()),
@@ -209,7 +212,7 @@
         self._frozen[process] = []
 
     def _capture_callbacks(self, process: Process) -> None:
-        """Take a process's callbacks out of the loop."""
+        """Move the callbacks of a frozen process from the loop to `_frozen`."""
         ready, scheduled = self._ready, self._scheduled  # type: ignore[attr-defined, has-type]
         captured = [
             handle for handle in [*ready, *scheduled] if handle._context.get(CURRENT_PROCESS) is process
@@ -225,7 +228,7 @@
         heapq.heapify(self._scheduled)
 
     def thaw(self, process: Process) -> None:
-        """Let a process go on: it reads what arrived, then its overdue timers fire, as with a selector."""
+        """Resume a process: it reads what arrived, then its overdue timers fire, as with a selector."""
         ready: Any = self._ready  # type: ignore[attr-defined]
         self._capture_callbacks(process)
         for handle in self._frozen.pop(process):
--- a/simulation/exchange/backend.py
+++ b/simulation/exchange/backend.py
@@ -151,7 +151,11 @@
     def enter_state(
         self, state: BackendExchangeState, is_reused: bool, is_not_idempotent: bool, extra_bytes: bytes
     ) -> None:
-        """`is_reused`: on a connection that has carried a response. `extra_bytes`: received before."""
+        """Bring the exchange into the state.
+
+        `is_reused`: use a connection that has carried a response. `extra_bytes`: received before the event,
+        in the state AFTER_EXTRA_BYTES.
+        """
         if is_reused:
             self.send("first")
             self.transport().feed(serialize_response("first"))
@@ -178,7 +182,7 @@
             self.transport().feed((data or serialize_response(OWN_ID))[:STATUS_LINE_PREFIX_BYTES])
             data = data[STATUS_LINE_PREFIX_BYTES:]
         if state is BackendExchangeState.CONNECTED:
-            pass  # the write has already failed with it
+            pass  # the write has already failed with this event
         elif data:
             self.transport().feed(data)
         elif event is BackendExchangeEvent.TIMED_OUT:
@@ -198,10 +202,10 @@
 
     def conclusion(self, event: BackendExchangeEvent) -> Conclusion:
         if event is BackendExchangeEvent.CANCELLED:
-            expect(self.peer_connection.replies, [], "replies to a call that was cancelled")
+            expect(self.peer_connection.replies, [], "replies to a cancelled call")
             was_written = bool(self.loop.transports and self.transport().accepted)
             return Conclusion.MAY_HAVE_EXECUTED if was_written else Conclusion.NOT_EXECUTED
-        expect(len(self.peer_connection.replies) <= 1, True, "one reply at most")
+        expect(len(self.peer_connection.replies) <= 1, True, "at most one reply")
         match self.peer_connection.replies:
             case []:
                 return Conclusion.PENDING
@@ -211,10 +215,10 @@
                 return Conclusion.NOT_EXECUTED
             case [AttemptFailed()]:
                 return Conclusion.MAY_HAVE_EXECUTED
-        raise ExchangeViolation(f"replies: {self.peer_connection.replies}")
+        raise ExchangeViolation(f"unexpected replies: {self.peer_connection.replies}")
 
     def connection(self) -> ConnectionState:
-        """Return the fate of the connection, by where the next request goes."""
+        """Return the state of the connection, determined by where the next request goes."""
         if self.inbound_proxy.in_flight_count():
             return ConnectionState.IN_USE
         self.loop.delays_connects = False
@@ -228,7 +232,7 @@
             expect(
                 (transport.is_closed, bytes(transport.accepted)),
                 (True, accepted_before),
-                "a closed connection carried more",
+                "state of a closed connection, and the bytes written on it",
             )
         return ConnectionState.CLOSED
 
@@ -245,9 +249,15 @@
     for reply in replies:
         if isinstance(reply, ForwardResponse):
             expect(
-                dict(reply.headers)[_id_header_name(reply)], OWN_ID.encode(), "the id of what was forwarded"
+                dict(reply.headers)[_id_header_name(reply)],
+                OWN_ID.encode(),
+                "attempt id of the forwarded response",
+            )
+            expect(
+                b" %d X" % reply.status in data,
+                True,
+                "status of the forwarded response is one that the backend sent",
             )
-            expect(b" %d X" % reply.status in data, True, "the status of what was forwarded")
 
 
 def _id_header_name(reply: ForwardResponse) -> bytes:
--- a/simulation/exchange/client_requests.py
+++ b/simulation/exchange/client_requests.py
@@ -119,9 +119,9 @@
     # --- results ---
 
     def conclusion(self, state: ClientRequestState, event: ClientRequestEvent) -> Conclusion:
-        """Return what the client may conclude of its request."""
+        """Return what the client may conclude about its request."""
         statuses = self.statuses()
-        expect(len(statuses) <= 1, True, "answers to one event")
+        expect(len(statuses) <= 1, True, "at most one response to an event")
         if statuses:
             if statuses[0] == 200:
                 return Conclusion.EXECUTED
@@ -136,17 +136,17 @@
                 ClientRequestEvent.COMPLETE_REQUEST,
                 ClientRequestEvent.MALFORMED_INPUT,
             )
-            expect(self.handler.accepted, ["own"], "requests that were handed on")
+            expect(self.handler.accepted, ["own"], "forwarded requests")
             return Conclusion.NOT_EXECUTED if is_input else Conclusion.PENDING
         if event in (ClientRequestEvent.END_OF_INPUT, ClientRequestEvent.RESET):
             if self.handler.disconnected:
-                expect(self.handler.disconnected, ["own"], "requests whose caller has gone")
+                expect(self.handler.disconnected, ["own"], "requests whose client disconnected")
                 return Conclusion.MAY_HAVE_EXECUTED
             return Conclusion.NOT_EXECUTED if state is ClientRequestState.PARTIAL else Conclusion.PENDING
         return Conclusion.PENDING
 
     def connection_state(self, state: ClientRequestState) -> ConnectionState:
-        """Return the fate of the connection, by what it does with one more request."""
+        """Return the state of the connection, determined by how it handles one more request."""
         connection = self.connection
         if connection.request is not None or (connection._is_in_request and not self.transport.is_closed):
             return ConnectionState.IN_USE
@@ -155,8 +155,8 @@
         self.loop.wait(0.001)
         if self.handler.accepted == [*accepted, "next"]:
             return ConnectionState.REUSABLE
-        expect(self.handler.accepted, accepted, "requests that were handed on")
-        expect(self.statuses(), [], "answers on a closed connection")
+        expect(self.handler.accepted, accepted, "forwarded requests")
+        expect(self.statuses(), [], "responses on a closed connection")
         return ConnectionState.CLOSED
 
     def finish_requests(self, event: ClientRequestEvent) -> None:
@@ -168,10 +168,10 @@
         statuses = self.statuses()
         if event is ClientRequestEvent.MALFORMED_INPUT:
             expect(
-                (statuses, self.handler.accepted), ([200, 400], ["own"]), "what was answered and handed on"
+                (statuses, self.handler.accepted), ([200, 400], ["own"]), "responses and forwarded requests"
             )
         else:
-            expect(statuses, [200] * response_count, "answers in turn")
+            expect(statuses, [200] * response_count, "responses in order")
 
 
 def play_client_request(state: ClientRequestState, event: ClientRequestEvent, cell: TableCell) -> None:
--- a/simulation/exchange/expectations.py
+++ b/simulation/exchange/expectations.py
@@ -1,4 +1,4 @@
-"""Errors and checks of the players."""
+"""The error and the check that all players use."""
 
 
 class ExchangeViolation(Exception):
@@ -8,4 +8,4 @@
 def expect(actual: object, expected: object, what: str) -> None:
     """Raise ExchangeViolation unless the two values are equal."""
     if actual != expected:
-        raise ExchangeViolation(f"{what}: {actual}, not {expected}")
+        raise ExchangeViolation(f"{what}: got {actual}, expected {expected}")
--- a/simulation/exchange/inbound_requests.py
+++ b/simulation/exchange/inbound_requests.py
@@ -29,7 +29,7 @@
 from simulation.exchange.scripted_transports import ScriptedLoop, ScriptedTransport, scripted_loop
 
 DRAIN_S = 0.1
-SLOT_HOLDER_CALL, PLAYED_CALL = 1, 2  # calls: one that holds the only slot, and the one that is played
+SLOT_HOLDER_CALL, PLAYED_CALL = 1, 2  # calls: one that occupies the only slot, and the one under test
 PAST_ALL_TIMEOUTS_S = 5.0
 
 
@@ -103,7 +103,7 @@
         self.loop.wait(0.001)
 
     def conclusion(self, reply_count_before: int) -> Conclusion:
-        """Return what is reported to the forwarding proxy, or what is true where nothing is reported."""
+        """Return what is reported to the forwarding proxy, or the actual result if nothing is reported."""
         match self.replies()[reply_count_before:]:
             case []:
                 return self._unreported_conclusion()
@@ -113,7 +113,7 @@
                 return Conclusion.MAY_HAVE_EXECUTED
             case [ForwardResponse()]:
                 return Conclusion.EXECUTED
-        raise ExchangeViolation(f"replies: {self.replies()}")
+        raise ExchangeViolation(f"unexpected replies: {self.replies()}")
 
     def _unreported_conclusion(self) -> Conclusion:
         transports_written = self.transports_written()
@@ -128,7 +128,7 @@
         for transport in self.loop.transports:
             transport.feed(serialize_response("first" if b"/first " in transport.accepted else OWN_ID))
         self.loop.wait(PAST_ALL_TIMEOUTS_S)
-        expect(self.inbound_proxy.in_flight_count(), 0, "requests in flight in the end")
+        expect(self.inbound_proxy.in_flight_count(), 0, "requests in flight at the end")
 
 
 def play_inbound_request(
@@ -151,4 +151,8 @@
         expect(holds_slot, cell.slot is Slot.HELD, f"{where}, whether it holds a slot")
         transports_written = len(player.transports_written())
         player.finish()
-        expect(len(player.transports_written()), transports_written, f"{where}, written later")
+        expect(
+            len(player.transports_written()),
+            transports_written,
+            f"{where}, backend connections written in the end",
+        )
--- a/simulation/exchange/keyed_operations.py
+++ b/simulation/exchange/keyed_operations.py
@@ -144,7 +144,7 @@
     """Play one cell. Raises ExchangeViolation."""
     player = KeyedOperationPlayer()
     player.enter_state(state)
-    expect(player.state(), state, "the state before")
+    expect(player.state(), state, "the state before the event")
     actions = player.apply_event(event)
     where = f"keyed operation, {state.value}, {event.value}"
     expect(tuple(ACTIONS[type(action)] for action in actions), cell.actions, where)
--- a/simulation/exchange/peer_calls.py
+++ b/simulation/exchange/peer_calls.py
@@ -18,7 +18,7 @@
 from simulation.exchange.scripted_transports import ScriptedLoop, ScriptedTransport, scripted_loop
 
 PEER_ADDRESS = "127.0.0.1:1"
-RECONNECT_DELAY_S = 0.2  # until the next attempt to connect to a peer that was not reached
+RECONNECT_DELAY_S = 0.2  # until the next attempt to connect to an unreachable peer
 REPLIES: dict[PeerCallEvent, list[Message]] = {
     PeerCallEvent.EXECUTED: [ForwardResponse(200, [], b"a"), ForwardResponse(500, [], b"a")],
     PeerCallEvent.NOT_EXECUTED: [NotExecuted("full")],
@@ -101,7 +101,7 @@
                 self.transport().close_by_peer()
             case PeerCallEvent.PEER_TIMED_OUT:
                 self.call.connection.last_received_at -= 2 * KEEPALIVE_TIMEOUT_S
-                self.connections.last_received_from.clear()  # nothing came on other connections either
+                self.connections.last_received_from.clear()  # nothing arrived on other connections either
                 self.connections._sweep()
                 if not self.call.connection.pending_calls:
                     self.call.connection.close(
@@ -126,7 +126,7 @@
         return Conclusion.NOT_EXECUTED if result.is_not_executed else Conclusion.MAY_HAVE_EXECUTED
 
     def connection(self, state: PeerCallState, concluded: Conclusion) -> ConnectionState:
-        """Return the fate of the connection, by where the next call goes.
+        """Return the state of the connection, determined by where the next call goes.
 
         Checks that a call reported as not executed is not sent later.
         """
@@ -142,10 +142,14 @@
         self.loop.wait(0.01)
         if concluded is Conclusion.NOT_EXECUTED and state is not PeerCallState.SENT:
             for transport in self.loop.transports:
-                expect("own" in self.requests_read(transport), False, "not executed, yet it was sent")
+                expect(
+                    "own" in self.requests_read(transport),
+                    False,
+                    "whether a call reported as not executed was sent",
+                )
         if len(self.loop.connects) == connects:
             expect(
-                self.requests_read(self.transport())[-1], "next", "what the reused connection carries next"
+                self.requests_read(self.transport())[-1], "next", "the last request on the reused connection"
             )
             return ConnectionState.REUSABLE
         return ConnectionState.CLOSED
--- a/simulation/exchange/planted_defects.py
+++ b/simulation/exchange/planted_defects.py
@@ -24,7 +24,7 @@
 from simulation.exchange.scripted_transports import UNLIMITED_BYTES
 
 PlantedDefect = AbstractContextManager[Any]
-EXAMPLES = 300  # plans of each hop; defects that only plans find are found within a third of them
+EXAMPLES = 300  # plans for each hop; a third of them finds every defect that only plans find
 
 
 def _retries_after_reset() -> PlantedDefect:
@@ -147,7 +147,7 @@
 
 
 def _executes_failed_key_again() -> PlantedDefect:
-    """Treats a failed execution of a key like one that did not happen."""
+    """Treats a failed execution of a key as if the request had not been executed."""
     return mock.patch.object(KeyedOperations, "on_execution_failed", KeyedOperations.on_not_executed)
 
 
@@ -181,7 +181,7 @@
 }
 
 
-# For a defect that only certain events reveal: these events. The correct code passes them.
+# Plans for defects that only certain events reveal. The correct code passes them.
 COUNTEREXAMPLES: dict[str, list[Step]] = {
     "sends one id twice on a connection": [
         SendRequest(True, UNLIMITED_BYTES),
--- a/simulation/exchange/play_tables.py
+++ b/simulation/exchange/play_tables.py
@@ -32,10 +32,10 @@
 class TableResults:
     """Counts of a table's cells, and the violations found."""
 
-    cells: int  # possible ones
+    cells: int  # possible cells that were played
     impossible: int  # marked as impossible in the table
-    passed: int  # played as the table says
-    violations: list[str]  # violations in the others
+    passed: int  # cells in which the code behaves as the table says
+    violations: list[str]  # one for each other cell
 
 
 def cells(hop: str) -> Iterator[tuple[Any, Any, Any]]:
--- a/simulation/exchange/scripted_transports.py
+++ b/simulation/exchange/scripted_transports.py
@@ -74,7 +74,7 @@
             self.protocol.connection_lost(ConnectionResetError("reset"))
 
     def accept_more(self, size: int = UNLIMITED_BYTES) -> None:
-        """Read on the other side, so that the socket's buffer takes more."""
+        """Read more on the other side, so that the socket's buffer takes more."""
         self.writable_bytes += size
         buffered, self._buffered = bytes(self._buffered), bytearray()
         self._accept(buffered)
@@ -170,7 +170,7 @@
         super().__init__()
         self.transports: list[ScriptedTransport] = []  # all opened connections
         self.connects: list[PendingConnect] = []  # all attempts to connect
-        self.delays_connects = False  # attempts to connect wait for the script
+        self.delays_connects = False  # attempts to connect stay pending until the script ends them
         self.writable_bytes = UNLIMITED_BYTES  # of the next connection
         self.fails_writes = False
 
--- a/simulation/failing_server_cases.py
+++ b/simulation/failing_server_cases.py
@@ -14,7 +14,7 @@
 
 
 def _freeze(fault_simulation: FaultSimulation, seconds: float) -> None:
-    """Freeze one server for so long."""
+    """Freeze one server for `seconds`."""
     fault_simulation.unhealthy.add("s0")
     fault_simulation.at_fault_time(fault_simulation.server(0).freeze)
     fault_simulation.at_fault_time(fault_simulation.server(0).thaw, seconds)
@@ -64,7 +64,7 @@
 
 
 def _fail_nearly_all(fault_simulation: FaultSimulation) -> None:
-    """Fail all but one: the floor must hold, or ejections would empty the list."""
+    """Fail all but one: the limit on ejections must hold, or they would empty the list."""
     for server_number in range(1, fault_simulation.size.servers):
         fault_simulation.unhealthy.add(f"s{server_number}")
         fault_simulation.at_fault_time(
@@ -80,7 +80,7 @@
 
 
 def _delay_list(fault_simulation: FaultSimulation) -> None:
-    """Replace half of the servers, some at the same addresses; the list says so 10 s late."""
+    """Replace half of the servers, some at the same addresses; proxies get the new list 10 s late."""
     count = fault_simulation.size.servers
 
     def replace() -> None:
@@ -99,7 +99,7 @@
 
 
 def _reorder_lists(fault_simulation: FaultSimulation) -> None:
-    """Publish lists twice, by half, and out of order."""
+    """Four times, publish a list of half the servers twice, then the full list twice."""
 
     def publish_half() -> None:
         all_entries = dict(fault_simulation.entries)
--- a/simulation/failing_servers.py
+++ b/simulation/failing_servers.py
@@ -1,8 +1,8 @@
 """Proxies with servers that fail in every way, all at once or in turn, in virtual time.
 
-The modules are those in service (`cometdoor/host/balancer_host.py` and the balancer). At every step it is
-checked that each request gets one final response in time, that nothing is sent after it, that nothing is sent
-to a server that is not ready in the proxy's own list, and that no proxy ejects more than half of its servers.
+The modules are the production ones (`cometdoor/host/balancer_host.py` and the balancer). Every step checks
+that each request gets one final response in time, that no attempt is sent after it, that nothing is sent to a
+server that is not ready in the proxy's own list, and that no proxy ejects more than half of its servers.
 At the end the servers' request logs are checked against the clients' log.
 
     python -m simulation.failing_servers [FIRST_SEED [COUNT]]     prints each seed that fails
@@ -59,7 +59,7 @@
         super().__init__(f"proxy {proxy_number}", fault_simulation.network)
         self.fault_simulation = fault_simulation
         self.proxy_number = proxy_number
-        self.path_failure_share: dict[Address, float] = {}  # share of its attempts that fail
+        self.path_failure_share: dict[Address, float] = {}  # by server, the share of attempts that fail
         settings = api.Settings(
             classes=CLASSES, balancers=fault_simulation.size.proxies, position=proxy_number
         )
@@ -99,7 +99,7 @@
     request_log: RequestLog = field(default_factory=RequestLog)
     client_log: ClientLog = field(default_factory=ClientLog)
     sends: list[tuple[float, int, str]] = field(default_factory=list)
-    unhealthy: set[str] = field(default_factory=set)  # servers that were unhealthy at some time
+    unhealthy: set[str] = field(default_factory=set)  # servers that the case makes unhealthy at some time
     # Seconds after the fault, proxy, server.
     ejections: list[tuple[float, int, str]] = field(default_factory=list)
     ends_at: float = 0.0
@@ -120,7 +120,7 @@
         CASES[self.case](self)
 
     def add_server(self, server_number: int, address: Address | None = None) -> None:
-        """Start a server and list it; `address`: of one that it replaces."""
+        """Start a server and list it; `address`: that of a server that it replaces."""
         name, address = f"s{server_number}", address or ("h", server_number)
         cell = server_number // 2 % len(self.key_stores)
         model = self.models[name] = ServerModel(
@@ -160,7 +160,7 @@
     # --- play ---
 
     def play(self) -> list[RuleViolation]:
-        """Return the rules that were broken. Raises InvariantError where an invariant does not hold."""
+        """Return the rules that were broken. Raises InvariantError if an invariant does not hold."""
         self.ends_at = self.started_at + self.size.seconds
         self._send_request()
         self.clock.run(1000.0 * self.ends_at + 3000.0, self._check_invariants)
@@ -214,7 +214,7 @@
 
 
 def play(seed: int) -> tuple[str, list[str]]:
-    """Return the case of a seed, and what was broken."""
+    """Return the case of a seed, and the violations in its schedule."""
     case = list(CASES)[seed % len(CASES)]
     random = Random(seed)
     size = Size(random.choice((2, 4, 9)), random.choice((2, 6, 12)), random.choice((30.0, 120.0)), 17.0)
--- a/simulation/gossip.py
+++ b/simulation/gossip.py
@@ -1,7 +1,7 @@
 """Gossip between simulated processes, in virtual time, for scenario tests and benchmarks of large fleets.
 
-`Directory` and `GossipServer` are those in service; connections and event loop are simulated. Messages
-between processes that can't reach each other are lost. The caller learns of that after a connection's
+`Directory` and `GossipServer` are the production classes; connections and event loop are simulated. Messages
+between processes that can't reach each other are lost. The caller gets an error after a connection's
 timeout, or at once if the peer process is dead.
 """
 
@@ -60,7 +60,7 @@
             self._mesh.reply(call_id, PeerError("answer", peer, "silent", True))
 
     def respond(self, call_id: int, message: Message) -> None:
-        """As a `PeerConnection` does, to a call that this process made."""
+        """Reply to a call that this process made, like `PeerConnection.respond`."""
         if call_id:
             self._mesh.call_later(NETWORK_DELAY_S, self._mesh.reply, call_id, message)
 
@@ -98,7 +98,7 @@
         self.messages_sent = 0
         self.isolated: set[str] = set()  # addresses without connection to any other
         self.cut_links: set[frozenset[str]] = set()
-        self.partition_side: set[str] = set()  # these addresses and the others can't reach one another
+        self.partition_side: set[str] = set()  # addresses in this set and all others can't reach each other
         self._last_call_id = 0
         self._pending: dict[int, tuple[str, OnReply]] = {}
         self._dead: set[str] = set()
--- a/simulation/keyed_operations.py
+++ b/simulation/keyed_operations.py
@@ -5,7 +5,7 @@
 Backends execute requests, lose responses, or reject requests.
 
 A schedule is correct if no key is executed twice within the window, all responses to a key are the same, and
-a client is told that its attempt was not executed only if that is true and no attempt is in progress.
+an attempt is reported as not executed only if that is true and no attempt is in progress.
 """
 
 from __future__ import annotations
@@ -54,7 +54,9 @@
     on_claimed: Callable[[str, str], None]
     deadline: float
     is_over: bool = False
-    proposed: list[Claim] = field(default_factory=list)  # one for each proposal; keeps their ids unique
+    proposed: list[Claim] = field(
+        default_factory=list
+    )  # one for each proposal; the references keep each `id()` unique
 
 
 class Proxy:
@@ -156,7 +158,7 @@
 
     def on_attempt_ended(self, one: ClientAttempt, outcome: str, response: bytes = b"") -> None:
         if one.outcome:
-            raise InvariantError(f"seed {self.seed}: a try of {one.key} was answered twice")
+            raise InvariantError(f"seed {self.seed}: an attempt of key {one.key} ended twice")
         one.outcome, one.response = outcome, response
         if response:
             self.responses.setdefault(one.key, set()).add(response)
@@ -195,7 +197,7 @@
         super()._on_applied(index, change, result)
         pending_claim = self._claims.get(id(change))
         if pending_claim is None or pending_claim.is_over or self.rng.random() < 0.02:
-            return  # not a claim of ours or already over; or the reply is lost and the claim proposed again
+            return  # not a pending claim; or its reply is lost, and the claim is proposed again
         pending_claim.is_over = True
         self.claim_latencies_s.append(self.now - (pending_claim.deadline - CLAIM_DEADLINE_S))
         self._call_later(NETWORK_DELAY_S, lambda: pending_claim.on_claimed(result.owner, result.claim))
@@ -257,7 +259,7 @@
                 proxy.carry_out(operations.on_not_executed(key), incarnation)
 
         if not kind.startswith("rejected"):
-            # The request is on its way to the backend, also if the proxy stops now.
+            # The request reaches the backend even if the proxy stops now.
             self._call_later(NETWORK_DELAY_S, lambda: self._start_execution(key))
         self._call_later(self.rng.uniform(0.005, 0.4), finish)
 
@@ -266,7 +268,7 @@
         executions.append(self.now)
         if len(executions) > 1:
             raise InvariantError(
-                f"seed {self.seed}: {key} ran at {', '.join(f'{at:.3f}' for at in executions)}"
+                f"seed {self.seed}: key {key} was executed at {', '.join(f'{at:.3f}' for at in executions)}"
             )
 
     # --- results ---
@@ -274,14 +276,14 @@
     def check_keyed_invariants(self) -> KeyedCounts:
         """Return the counts.
 
-        Raises InvariantError where responses differ or a key got one without execution.
+        Raises InvariantError if responses to a key differ or a key got one without execution.
         """
         counts = KeyedCounts(len({one.key for one in self.attempts}), sum(map(len, self.executions.values())))
         for key, responses in self.responses.items():
             if len(responses) > 1:
-                raise InvariantError(f"seed {self.seed}: {key} had the answers {responses}")
+                raise InvariantError(f"seed {self.seed}: key {key} got different responses: {responses}")
             if key not in self.executions:
-                raise InvariantError(f"seed {self.seed}: {key} was answered and never ran")
+                raise InvariantError(f"seed {self.seed}: key {key} got a response without any execution")
         for one in self.attempts:
             counts.outcomes[one.outcome] = counts.outcomes.get(one.outcome, 0) + 1
         counts.answered_attempts = counts.outcomes.get("answer", 0)
--- a/simulation/mesh.py
+++ b/simulation/mesh.py
@@ -1,6 +1,6 @@
 """A whole mesh in memory, in virtual time: data planes and control planes with stand-in backends and clients.
 
-The programs' own classes run on a virtual event loop; backends and clients are those of the demo
+The production classes run on a virtual event loop; backends and clients are those of the demo
 (standins/mesh.py). Scenario tests and benchmarks use it.
 
     with simulated_mesh(seed=1) as mesh:
@@ -103,7 +103,7 @@
         return program
 
     def leader(self) -> str:
-        """Return the address of the control plane that leads."""
+        """Return the address of the leading control plane."""
         return next(
             address
             for address in self.core
@@ -114,11 +114,11 @@
         )
 
     def kill(self, address: str, silent: bool = False) -> None:
-        """Kill the program at an address, not its backend. `silent`: as a loss of power, without resets."""
+        """Kill the program at an address, not its backend. `silent`: as in a power loss, without resets."""
         self.loop.kill(self._processes[address], silent)
 
     def freeze(self, address: str) -> None:
-        """Freeze the program at an address; its machine and its backend go on."""
+        """Freeze the program at an address; its machine and its backend keep running."""
         self.loop.freeze(self._processes[address])
 
     def thaw(self, address: str) -> None:
@@ -161,7 +161,7 @@
     # --- the network ---
 
     def limit_links(self, bandwidth_mbps: float) -> None:
-        """Give the links of all data planes a bandwidth; their settings name it. Call it before the start."""
+        """Limit the bandwidth of all data planes' links, also in their settings. Call it before the start."""
         self.bandwidth_mbps = bandwidth_mbps
         self.loop.link_bytes_per_s = dict.fromkeys(self.planes, bandwidth_mbps * 1e6 / 8.0)
 
--- a/simulation/operators.py
+++ b/simulation/operators.py
@@ -1,7 +1,7 @@
 """Operators of a simulated mesh, who call the control planes like any external client.
 
 An operator picks a control plane from a list that may be outdated and follows two redirects. After a failure,
-a 5xx, a 408 or 429, or a second without response it tries another one, after an exponential backoff.
+a 5xx, a 408 or 429, or a second without response it tries another one after an exponential backoff.
 Responses may be lost on their way; the same change is then sent again unchanged. Every exchange is logged.
 """
 
--- a/simulation/retry_budget.py
+++ b/simulation/retry_budget.py
@@ -1,6 +1,6 @@
 """The retry budget of one service over many proxies, in virtual time.
 
-The modules in service are `BudgetShares` and the balancer's `RetryLimiter` at each proxy, and
+The production modules in it are `BudgetShares` and the balancer's `RetryLimiter` at each proxy, and
 `BudgetAllocator` at the leader. Requests and grants of leases are lost, delayed and duplicated, leaders
 change, proxies restart, traffic rises and falls, and some proxies demand retries all the time. Every retry is
 checked against the limit of the window that ends with it.
@@ -41,7 +41,7 @@
 
 
 class Proxy:
-    """A proxy: its `BudgetShares` and retry limiter, and the load and retries that it has."""
+    """A proxy: its `BudgetShares` and retry limiter, and the load and retries that it generates."""
 
     def __init__(self, mesh: BudgetMesh, number: int) -> None:
         self.mesh = mesh
@@ -52,7 +52,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start a new incarnation, which knows nothing of the former one."""
+        """Start a new incarnation, which has no state of the former one."""
         self.incarnation += 1
         self.budget = RetryLimiter(api.RetryBudget(0.0, RATIO * LOCAL_SHARE, WINDOW_S * 1000.0))
         self.shares = BudgetShares(
@@ -110,7 +110,9 @@
         self.wanted_retries = 0
         self.messages = 0
         self.allocator: BudgetAllocator | None = BudgetAllocator(RATIO, SLACK, WINDOW_S, -100.0)
-        self._former_leader: tuple[BudgetAllocator, float] | None = None  # and when it is told
+        self._former_leader: tuple[BudgetAllocator, float] | None = (
+            None  # its allocator, and until when it still answers
+        )
         self.proxies = [Proxy(self, number) for number in range(size)]
 
     def advance(self, seconds: float, step_s: float = 0.05) -> None:
--- a/simulation/services.py
+++ b/simulation/services.py
@@ -1,9 +1,9 @@
 """Hosts of several services in virtual time, with a faulty network and faulty servers drawn from one seed.
 
-The modules are those in service: `cometdoor/host/balancer_host.py`, `cometdoor/services/endpoint_lists.py`
-and the balancer. At every step it is checked that each request gets one final response in time, that nothing
-is sent after it, and that nothing is sent to a server once its drain is published. At the end the servers'
-request logs are checked against the clients' log.
+The modules are the production ones: `cometdoor/host/balancer_host.py`, `cometdoor/services/endpoint_lists.py`
+and the balancer. Every step checks that each request gets one final response in time, that no attempt is sent
+after it, and that nothing is sent to a server once its drain is published. At the end the servers' request
+logs are checked against the clients' log.
 
     python -m simulation.services [FIRST_SEED [COUNT]]     prints each seed that fails
 """
@@ -62,10 +62,10 @@
         self.host.on_endpoints_changed(event, addresses)
 
     def check_server(self, server: str, address: Address, request: SimulatedRequest) -> None:
-        """Check a send against discovery's state of the server, not against what this host was sent."""
+        """Check a send against the server's state in discovery, not against the list at the host."""
         if server not in self.entries or self.services_simulation.is_draining(address):
             raise InvariantError(
-                f"{request.attempt.request} is sent to {server}, which drains or is not listed"
+                f"{request.attempt.request} is sent to {server}, which is draining or not listed"
             )
 
 
@@ -117,7 +117,7 @@
             self._publish_list(service)
 
     def is_draining(self, address: Address) -> bool:
-        """Tell whether any list in discovery marks the server as draining."""
+        """Return whether any list in discovery marks the server as draining."""
         return any(
             at == address and server.state is EndpointState.DRAINING
             for service in self.services.values()
@@ -200,7 +200,7 @@
 
 
 def play(seed: int) -> list[RuleViolation]:
-    """Return the rules that were broken. Raises InvariantError where an invariant does not hold."""
+    """Return the rules that were broken. Raises InvariantError if an invariant does not hold."""
     return ServicesSimulation(seed).play()
 
 
--- a/simulation/timers.py
+++ b/simulation/timers.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-MAX_EVENTS_AT_ONE_TIME = 100_000  # more at one moment mean that a callback keeps rescheduling itself
+MAX_EVENTS_AT_ONE_TIME = 100_000  # with more, a callback probably reschedules itself without delay
 
 
 class VirtualTimer:
@@ -28,18 +28,18 @@
         self._call = None
 
     def pop(self) -> Callable[..., object] | None:
-        """Return the call, which is made by this alone, or None if it was cancelled."""
+        """Return the call and clear it, so that it is made only once; None if it was cancelled."""
         call, self._call = self._call, None
         return call
 
     @property
     def arguments(self) -> tuple[Any, ...]:
-        """What the call is made with."""
+        """The arguments of the call."""
         return self._arguments
 
 
 class TimerQueue:
-    """Timers by due time, in any unit; those of one moment run in the order in which they were scheduled."""
+    """Timers by due time, in any unit; those due at the same time run in the order of their scheduling."""
 
     def __init__(self, now: float = 0.0) -> None:
         self.now = now
@@ -47,16 +47,16 @@
         self._scheduled_count = 0
 
     def schedule(self, due: float, call: Callable[..., object], *arguments: Any) -> VirtualTimer:
-        """Schedule a call; what is due in the past is due now."""
+        """Schedule a call; one that would be due in the past is due now."""
         timer = VirtualTimer(call, arguments)
         self._scheduled_count += 1
         heapq.heappush(self._heap, (max(due, self.now), self._scheduled_count, timer))
         return timer
 
     def run_until(self, end: float, after_each: Callable[[], None] | None = None) -> None:
-        """Make all calls that are due until `end`, which is the time then.
+        """Make all calls that are due until `end`, then set the time to `end`.
 
-        `after_each` is called after each. Raises RuntimeError if time does not advance.
+        `after_each` is called after each call. Raises RuntimeError if time does not advance.
         """
         events_at_this_time = 0
         while self._heap and self._heap[0][0] <= end:
@@ -66,7 +66,7 @@
                 continue
             events_at_this_time = events_at_this_time + 1 if due == self.now else 0
             if events_at_this_time > MAX_EVENTS_AT_ONE_TIME:
-                raise RuntimeError(f"time stands still at {due}")
+                raise RuntimeError(f"virtual time does not advance beyond {due}")
             self.now = due
             call(*timer.arguments)
             if after_each is not None:
@@ -90,5 +90,5 @@
         return self.schedule(self.now, call, *arguments)
 
     def run(self, seconds: float) -> None:
-        """Let this time pass."""
+        """Advance the time by `seconds` and make all calls that are due by then."""
         self.run_until(self.now + seconds)
--- a/simulation/virtual_network.py
+++ b/simulation/virtual_network.py
@@ -30,11 +30,11 @@
         return self._timers.now
 
     def now(self) -> float:
-        """Return the time in seconds, as the stand-ins count."""
+        """Return the time in seconds, the unit of the stand-in servers."""
         return self._timers.now / 1000.0
 
     def call_at(self, due_ms: float, call: Callable[[], None]) -> VirtualTimer:
-        """Schedule a call."""
+        """Schedule a call for `due_ms`."""
         return self._timers.schedule(due_ms, call)
 
     def after(self, ms: float, call: Callable[[], None]) -> VirtualTimer:
@@ -42,7 +42,7 @@
         return self._timers.schedule(self._timers.now + ms, call)
 
     def run(self, until_ms: float, after_each: Callable[[], None] | None = None) -> None:
-        """Make all calls until then; `after_each` is called after each."""
+        """Make all calls that are due until `until_ms`; `after_each` is called after each of them."""
         self._timers.run_until(until_ms, after_each)
 
 
@@ -50,8 +50,8 @@
 class Faults:
     """Faults of the network between a host and its servers.
 
-    TCP keeps the order within a connection and loses nothing silently; across connections anything may
-    overtake anything.
+    TCP keeps the order within a connection and loses nothing silently; messages on different
+    connections may arrive in any order.
     """
 
     delay_ms: tuple[float, float] = (0.1, 3.0)
@@ -178,7 +178,7 @@
             self.after_delay(on_arrived)
 
         def on_arrived() -> None:
-            """A request that is completely written arrives, also when its attempt was abandoned."""
+            """Deliver the request: once completely written, it arrives even if its attempt was abandoned."""
             server = self.servers[address]
             if address in self.down_addresses or draw() < faults.no_response_share:
                 return
--- a/simulation/virtual_transport.py
+++ b/simulation/virtual_transport.py
@@ -18,7 +18,7 @@
 
 
 class Process:
-    """Callbacks, connections and listeners that live and die together, on one machine."""
+    """A process on one machine; killing it ends its callbacks, connections and listeners together."""
 
     def __init__(self, machine: str, name: str) -> None:
         self.machine = machine
--- a/tests/simulation/test_failing_servers.py
+++ b/tests/simulation/test_failing_servers.py
@@ -25,7 +25,8 @@
     fault_simulation = FaultSimulation(1, case, Size(proxies=3, servers=8, rate=60.0, seconds=12.0))
     assert not fault_simulation.play()
     if case in CASES_WITHOUT_UNHEALTHY_SERVERS:
-        # Of 24 pairs of a proxy and a server. If a third fails, a few are ejected by chance, up to the limit.
+        # There are 24 pairs of a proxy and a server. If a third of the attempts fail, a few pairs are ejected
+        # by chance, up to the limit.
         assert fault_simulation.false_ejections() <= (6 if case == "a third reset everywhere" else 1)
 
 
--- a/tests/simulation/test_services.py
+++ b/tests/simulation/test_services.py
@@ -57,9 +57,9 @@
             EndpointLists,
             "_with_shared_drain",
             lambda self, server, address: server,
-            "drains or is not listed",
+            "is draining or not listed",
         ),
-        (BalancerHost, "_detach_client", keep_client, "a second final answer"),
+        (BalancerHost, "_detach_client", keep_client, "a second final response"),
     ],
 )
 def test_a_planted_defect_is_found(
@@ -73,7 +73,7 @@
                 problems = [str(problem)]
             if any(expected_text in text for text in problems):
                 return
-    raise AssertionError("no schedule showed it")
+    raise AssertionError("no schedule revealed the defect")
 
 
 def test_virtual_time_that_stands_still_raises_an_error() -> None:
@@ -83,7 +83,7 @@
         clock.after(0.0, reschedule)
 
     reschedule()
-    with pytest.raises(RuntimeError, match="stands still"):
+    with pytest.raises(RuntimeError, match="does not advance"):
         clock.run(clock.now_ms() + 1.0)
 
 
