--- a/simulation/client_sessions.py
+++ b/simulation/client_sessions.py
@@ -8,7 +8,7 @@
 changes that already had a response.
 
 Two clients send different configurations with one revision on one base, with bodies of one CRC-32; a third
-builds on that revision. After each step, beside the checker's own invariants, these must hold:
+builds on that revision. After each step, these must hold besides the invariants of the checker:
 
 - a change that is or ever becomes accepted was never rejected, and is never rejected later (`accepted is not
   rejected`);
--- a/simulation/exchange/fuzz_backend.py
+++ b/simulation/exchange/fuzz_backend.py
@@ -146,7 +146,7 @@
 
 
 class FuzzRun:
-    """One plan as it is played: proxies, backend connections and what happened to the requests."""
+    """A plan in progress: proxies, backend connections and what happened to the requests."""
 
     def __init__(self, loop: ScriptedLoop) -> None:
         self.loop = loop
--- a/simulation/exchange/fuzz_client.py
+++ b/simulation/exchange/fuzz_client.py
@@ -4,7 +4,7 @@
 
 - the complete requests are forwarded, in order, and nothing after a malformed one;
 - each response goes to the request in progress, in order, and there is none without a request;
-- a request of which nothing was forwarded is answered by 400 or 408, or not at all.
+- a request of which nothing was forwarded gets a 400, a 408 or no response.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 
 
 class FuzzRun:
-    """One plan as it is played: the client's connection and what was forwarded."""
+    """A plan in progress: the client's connection and what was forwarded."""
 
     def __init__(self, player: ClientRequestPlayer) -> None:
         self.player = player
--- a/simulation/exchange/fuzz_peer.py
+++ b/simulation/exchange/fuzz_peer.py
@@ -77,7 +77,7 @@
 
 
 class FuzzRun:
-    """One plan as it is played: the program's calls and the peer's connections."""
+    """A plan in progress: the program's calls and the peer's connections."""
 
     def __init__(self, loop: ScriptedLoop) -> None:
         self.loop = loop
--- a/simulation/failing_servers.py
+++ b/simulation/failing_servers.py
@@ -136,7 +136,7 @@
         self.entries[name] = Endpoint(name, cell=cell), address
 
     def publish_list(self, after_ms: float = 0.0) -> None:
-        """Publish the list as it is now to every proxy, `after_ms` from now."""
+        """Publish the current list to every proxy, `after_ms` from now."""
         servers = tuple(server for server, _ in self.entries.values())
         addresses = {name: address for name, (_, address) in self.entries.items()}
         for proxy in self.proxies:
--- a/simulation/keyed_operations.py
+++ b/simulation/keyed_operations.py
@@ -98,13 +98,13 @@
                 case QueryOwner():
                     mesh.query_owner(self, action, incarnation)
                 case Respond():
-                    mesh.on_attempt_ended(action.waiter, "answer", action.response.body)
+                    mesh.on_attempt_ended(action.waiter, "response", action.response.body)
                 case Reject():
-                    mesh.on_attempt_ended(action.waiter, "refused")
+                    mesh.on_attempt_ended(action.waiter, "rejected")
                 case ReportUnknown():
                     mesh.on_attempt_ended(action.waiter, "unknown")
                 case ReportInProgress():
-                    mesh.on_attempt_ended(action.waiter, "at work")
+                    mesh.on_attempt_ended(action.waiter, "in progress")
 
 
 @dataclass
@@ -286,7 +286,7 @@
                 raise InvariantError(f"seed {self.seed}: key {key} got a response without any execution")
         for one in self.attempts:
             counts.outcomes[one.outcome] = counts.outcomes.get(one.outcome, 0) + 1
-        counts.answered_attempts = counts.outcomes.get("answer", 0)
+        counts.answered_attempts = counts.outcomes.get("response", 0)
         return counts
 
 
--- a/simulation/retry_budget.py
+++ b/simulation/retry_budget.py
@@ -110,9 +110,8 @@
         self.wanted_retries = 0
         self.messages = 0
         self.allocator: BudgetAllocator | None = BudgetAllocator(RATIO, SLACK, WINDOW_S, -100.0)
-        self._former_leader: tuple[BudgetAllocator, float] | None = (
-            None  # its allocator, and until when it still answers
-        )
+        # Its allocator, and the time until which it still responds.
+        self._former_leader: tuple[BudgetAllocator, float] | None = None
         self.proxies = [Proxy(self, number) for number in range(size)]
 
     def advance(self, seconds: float, step_s: float = 0.05) -> None:
@@ -123,7 +122,7 @@
                 proxy.advance(step_s)
 
     def change_leader(self) -> None:
-        """Elect another leader; the former one still answers requests for up to a second."""
+        """Elect another leader; the former one still responds to requests for up to a second."""
         if self.allocator is not None:
             self._former_leader = self.allocator, self.now + self.rng.uniform(0.0, 1.0)
         self.allocator = BudgetAllocator(RATIO, SLACK, WINDOW_S, self.now)
--- a/simulation/virtual_transport.py
+++ b/simulation/virtual_transport.py
@@ -198,7 +198,7 @@
 
 
 class VirtualListener:
-    """A listening socket, as `socket.create_server` returns it, for a program that accepts by itself."""
+    """A listening socket, as `socket.create_server` returns it; the program accepts connections itself."""
 
     def __init__(self, loop: VirtualLoop, address: tuple[str, int]) -> None:
         self._loop = loop
