--- a/cometdoor/services/reload_plan.py
+++ b/cometdoor/services/reload_plan.py
@@ -10,8 +10,8 @@
 
 # Keys whose change a running instance can apply. A change of any other key needs a new instance, which starts
 # without what the old one learned of its servers.
-CARRIED_OVER = {"routes", "servers", "limits"}
-CARRIED_OVER_LIMITS = {
+RELOADABLE_KEYS = {"routes", "servers", "limits"}
+RELOADABLE_LIMITS = {
     "max_open_requests",
     "max_waiting_requests",
     "max_connections",
@@ -68,11 +68,10 @@
     """Tell whether the change needs a new instance because a running one can't apply it."""
     if (old.servers is None) != (new.servers is None):
         return True
-    if any(getattr(old, key) != getattr(new, key) for key in _keys(old) - CARRIED_OVER):
+    if any(getattr(old, key) != getattr(new, key) for key in _keys(old) - RELOADABLE_KEYS):
         return True
     return any(
-        getattr(old.limits, key) != getattr(new.limits, key)
-        for key in _keys(old.limits) - CARRIED_OVER_LIMITS
+        getattr(old.limits, key) != getattr(new.limits, key) for key in _keys(old.limits) - RELOADABLE_LIMITS
     )
 
 
--- a/cometdoor/services/request_targets.py
+++ b/cometdoor/services/request_targets.py
@@ -119,8 +119,8 @@
     match = ABSOLUTE_TARGET.fullmatch(target)
     if match is None:
         raise RoutingError(400, "the target is no path")
-    rest: bytes = match[2]
-    return match[1], rest if rest.startswith(b"/") else b"/" + rest
+    path_and_query: bytes = match[2]
+    return match[1], path_and_query if path_and_query.startswith(b"/") else b"/" + path_and_query
 
 
 def path_segments(path: bytes) -> Segments:
@@ -137,7 +137,7 @@
     if MALFORMED_ESCAPE.search(path):
         raise RoutingError(400, "the path has a malformed escape")
     if b"%" in path:
-        path = PERCENT_ESCAPE.sub(_unreserved, path)
+        path = PERCENT_ESCAPE.sub(_decode_if_unreserved, path)
     segments = path.split(b"/")[1:]
     if any(segment in DOT_SEGMENTS for segment in segments):
         raise RoutingError(400, "the path has dot segments")
@@ -166,9 +166,9 @@
     return segments
 
 
-def _unreserved(match: re.Match[bytes]) -> bytes:
-    code = int(match[1], 16)
-    return bytes([code]) if code in UNRESERVED else match[0].upper()
+def _decode_if_unreserved(match: re.Match[bytes]) -> bytes:
+    byte = int(match[1], 16)
+    return bytes([byte]) if byte in UNRESERVED else match[0].upper()
 
 
 def parse_path_prefix(text: str) -> Segments:
--- a/cometdoor/services/routing_table.py
+++ b/cometdoor/services/routing_table.py
@@ -72,8 +72,8 @@
 
     def find(self, path: Segments) -> _PathRoutes | None:
         for length in range(min(len(path), self.depth), -1, -1):
-            if found := self.by_path.get(path[:length]):
-                return found
+            if routes := self.by_path.get(path[:length]):
+                return routes
         return None
 
 
@@ -150,14 +150,14 @@
         return path_routes
 
     def _find_host_routes(self, host: str) -> _HostRoutes | None:
-        if found := self._hosts.get(host):
-            return found
+        if routes := self._hosts.get(host):
+            return routes
         if not host.startswith("["):
-            rest = host
-            while "." in rest:
-                rest = rest.partition(".")[2]
-                if found := self._hosts.get(f"*.{rest}"):
-                    return found
+            parent_domain = host
+            while "." in parent_domain:
+                parent_domain = parent_domain.partition(".")[2]
+                if routes := self._hosts.get(f"*.{parent_domain}"):
+                    return routes
         return self._hosts.get("")
 
 
--- a/cometdoor/services/service_instance.py
+++ b/cometdoor/services/service_instance.py
@@ -41,8 +41,8 @@
 
     loop: asyncio.AbstractEventLoop
     settings: Settings
-    servers: SharedQuota  # of connections to servers
-    callers: SharedQuota  # of connections of callers
+    server_connections: SharedQuota  # of connections to servers
+    client_connections: SharedQuota  # of connections of callers
     endpoint_lists: EndpointLists[ServiceInstance]
     draining: dict[ServiceInstance, None]
     planner_transports: PlannerTransports | None
@@ -81,7 +81,7 @@
         Number of the zone where this proxy stands.
     """
     slow_start = entry.slow_start
-    made = api.Settings(
+    base_settings = api.Settings(
         classes=class_settings(entry),
         balancers=settings.fleet.proxies,
         position=settings.fleet.index,
@@ -89,9 +89,9 @@
         max_attempts=entry.limits.max_attempts,
     )
     if slow_start is None:
-        return made
+        return base_settings
     return replace(
-        made,
+        base_settings,
         slow_start_initial_share=slow_start.initial_share,
         warm_up_ms=slow_start.warm_up_ms,
         overload_factor=slow_start.overload_factor,
@@ -143,8 +143,8 @@
         self._kinds = NameNumbering()
         module_settings = balancer_settings(entry, settings, self._zones.number_of(entry.zone))
         guaranteed = owner.guaranteed_sockets_for(entry, settings)
-        self.servers_share = owner.servers.add_share(guaranteed, self._close_oldest_idle)
-        self.callers_share = owner.callers.add_share(guaranteed)
+        self.server_share = owner.server_connections.add_share(guaranteed, self._close_oldest_idle)
+        self.client_share = owner.client_connections.add_share(guaranteed)
         try:
             self.http = self._make_http_service(module_settings)
         except Exception:
@@ -188,9 +188,9 @@
         return HttpService(
             HostSettings(module_settings, random.getrandbits(63), entry.retry_after),
             self._owner.loop,
-            self.servers_share,
+            self.server_share,
             limits=self._service_limits(),
-            client_quota=self.callers_share,
+            client_quota=self.client_share,
             idle_close_ms=entry.limits.idle_close_ms,
             connect_timeout_ms=entry.limits.connect_timeout_ms,
             no_connection_outcome=Outcome.NOT_SENT,
@@ -223,8 +223,8 @@
         self.entry = entry
         self.http.set_limits(self._service_limits())
         guaranteed = self._owner.guaranteed_sockets_for(entry, self._owner.settings)
-        self._owner.servers.set_guaranteed(self.servers_share, guaranteed)
-        self._owner.callers.set_guaranteed(self.callers_share, guaranteed)
+        self._owner.server_connections.set_guaranteed(self.server_share, guaranteed)
+        self._owner.client_connections.set_guaranteed(self.client_share, guaranteed)
         if entry.servers is not None:
             self.update_servers(entry)
 
@@ -294,8 +294,8 @@
 
     def release_shares(self) -> None:
         """Return the socket quotas, which other services can use then."""
-        self._owner.servers.remove_share(self.servers_share)
-        self._owner.callers.remove_share(self.callers_share)
+        self._owner.server_connections.remove_share(self.server_share)
+        self._owner.client_connections.remove_share(self.client_share)
 
     def _on_empty(self) -> None:
         if self.is_draining and self.http.is_empty() and self in self._owner.draining:
--- a/cometdoor/services/service_manager.py
+++ b/cometdoor/services/service_manager.py
@@ -37,7 +37,7 @@
 
     Attributes
     ----------
-    servers, callers : SharedQuota
+    server_connections, client_connections : SharedQuota
         Connections to servers and of callers, shared fairly among the services.
     running, draining : dict
         Instances that get new requests, by name, and those that only finish what is open.
@@ -55,9 +55,9 @@
         self.planner_transports = planner_transports
         self.settings = settings
         self.descriptors = DescriptorQuota(settings.sockets)
-        callers = client_connection_limit(self.descriptors.limit)
-        self.callers = SharedQuota(callers)
-        self.servers = SharedQuota(self.descriptors.limit - callers)
+        client_connections = client_connection_limit(self.descriptors.limit)
+        self.client_connections = SharedQuota(client_connections)
+        self.server_connections = SharedQuota(self.descriptors.limit - client_connections)
         self.endpoint_lists: EndpointLists[ServiceInstance] = EndpointLists()
         self.running: dict[str, ServiceInstance] = {}
         self.draining: dict[ServiceInstance, None] = {}
@@ -91,7 +91,7 @@
         """Return the service's guaranteed sockets; by default half of all, in equal parts."""
         if entry.limits.guaranteed_sockets is not None:
             return entry.limits.guaranteed_sockets
-        return self.servers.total // (2 * len(settings.service))
+        return self.server_connections.total // (2 * len(settings.service))
 
     def apply(self, settings: Settings) -> ReloadPlan:
         """Apply a configuration; open requests end under the one that they arrived under.
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -14,7 +14,7 @@
 from tests.proxy_harness import FakeServer, ProxyHarness, ScriptedBalancer, endpoint_entry, run
 
 
-def asks(event: api.Event) -> list[api.Action]:
+def watch_on_cached_list(event: api.Event) -> list[api.Action]:
     return (
         [api.WatchEndpoints()]
         if isinstance(event, api.EndpointsChanged) and event.kind is EndpointListKind.CACHED
@@ -22,13 +22,13 @@
     )
 
 
-async def started(
+async def start_proxy(
     scripted_balancer: ScriptedBalancer,
     discovery: FakeServer,
     *members: dict[str, Any],
     is_polled: bool = True,
 ) -> ProxyHarness:
-    scripted_balancer.react = asks
+    scripted_balancer.react = watch_on_cached_list
     proxy_harness = await ProxyHarness().start(*members, discovery=discovery.address, is_polled=is_polled)
     assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.CACHED
     return proxy_harness
@@ -38,7 +38,7 @@
     async def test() -> None:
         discovery = await FakeServer().start()
         with ScriptedBalancer().installed() as scripted_balancer:
-            await started(scripted_balancer, discovery, endpoint_entry("s1", "127.0.0.1:9"))
+            await start_proxy(scripted_balancer, discovery, endpoint_entry("s1", "127.0.0.1:9"))
             call = await discovery.next()
             assert call.message.start_line == b"GET /discovery/hosts?stream=1&index=41 HTTP/1.1"
             call.open_stream()
@@ -62,7 +62,7 @@
     async def test() -> None:
         discovery = await FakeServer().start()
         with ScriptedBalancer().installed() as scripted_balancer:
-            await started(scripted_balancer, discovery, endpoint_entry("s1", "127.0.0.1:9"))
+            await start_proxy(scripted_balancer, discovery, endpoint_entry("s1", "127.0.0.1:9"))
             call = await discovery.next()
             scripted_balancer.react = lambda event: (
                 [api.WatchEndpoints()]
@@ -102,7 +102,7 @@
     async def test() -> None:
         old, new = await FakeServer().start(), await FakeServer().start()
         with ScriptedBalancer().installed() as scripted_balancer:
-            proxy_harness = await started(scripted_balancer, old, endpoint_entry("s1", "127.0.0.1:9"))
+            proxy_harness = await start_proxy(scripted_balancer, old, endpoint_entry("s1", "127.0.0.1:9"))
             before = await old.next()
             before.open_stream()
             before.send_endpoints(47, False, endpoint_entry("s1", "127.0.0.1:9", phase="terminating"))
@@ -125,7 +125,9 @@
     async def test() -> None:
         discovery = await FakeServer().start()
         with ScriptedBalancer().installed() as scripted_balancer:
-            await started(scripted_balancer, discovery, endpoint_entry("s1", "127.0.0.1:9"), is_polled=False)
+            await start_proxy(
+                scripted_balancer, discovery, endpoint_entry("s1", "127.0.0.1:9"), is_polled=False
+            )
             scripted_balancer.react = lambda event: []
             (await discovery.next()).reset()
             (await discovery.next()).reply(503)
@@ -182,7 +184,7 @@
         discovery, backend = await FakeServer().start(), await FakeServer().start()
         for change in ("terminating", "terminated", "left out", "restarted"):
             with ScriptedBalancer().installed() as scripted_balancer:
-                proxy_harness = await started(
+                proxy_harness = await start_proxy(
                     scripted_balancer, discovery, endpoint_entry("s1", backend.address)
                 )
                 call = await discovery.next()
@@ -222,10 +224,16 @@
             endpoint_entry("s2", "127.0.0.1:2", locality="far", flavor="new", cell="pod-7"),
         ]
     }
-    (one, two), addresses = reader.read(message)
-    assert (one.zone, one.kind, one.cell, one.weight, one.state) == (1, 0, 3, 1.5, EndpointState.READY)
-    assert (two.zone, two.kind, two.started_at) == (2, 1, 0.0)
-    assert abs(time.monotonic() * 1000.0 - one.started_at - 7000.0) < 1000.0
+    (first, second), addresses = reader.read(message)
+    assert (first.zone, first.kind, first.cell, first.weight, first.state) == (
+        1,
+        0,
+        3,
+        1.5,
+        EndpointState.READY,
+    )
+    assert (second.zone, second.kind, second.started_at) == (2, 1, 0.0)
+    assert abs(time.monotonic() * 1000.0 - first.started_at - 7000.0) < 1000.0
     assert addresses["s2"] == ("127.0.0.1", 2)
     again = reader.read(message)[0]
-    assert [one, two] == again  # a start that seems to change would look like a restart
+    assert [first, second] == again  # a start that seems to change would look like a restart
--- a/tests/planning/test_transport.py
+++ b/tests/planning/test_transport.py
@@ -38,7 +38,7 @@
 from standins.load_generator import ClientLog
 from standins.rules import check_rules
 from tests.proxy_harness import run
-from tests.services.harness import ServicesHarness, StandInService, encode_settings_file, settings_of
+from tests.services.harness import ServicesHarness, StandInService, encode_settings_file, make_settings
 
 OLD, NEW = KeyRing({1: b"o" * 32}, 1), KeyRing({1: b"o" * 32, 2: b"n" * 32}, 2)
 KEYS_ENTRY = KeysEntry(seal_with=1, known=[KeyEntry(number=1, file="unused")])
@@ -91,9 +91,9 @@
                 ],
             )
             loop = asyncio.get_running_loop()
-            harness = ServicesHarness(settings_of(fleet.service.entry()))
+            harness = ServicesHarness(make_settings(fleet.service.entry()))
             harness.services = ServiceManager(
-                settings_of(fleet.service.entry()), loop, PlannerTransports(loop, file, OLD)
+                make_settings(fleet.service.entry()), loop, PlannerTransports(loop, file, OLD)
             )
             fleet.harnesses.append(await harness.start())
             http = harness.services.running["a"].http
@@ -336,10 +336,10 @@
         assert (
             services.planner_transports is not None and len(services.planner_transports._open_transports) == 1
         )
-        services.apply(settings_of(other.entry()))
+        services.apply(make_settings(other.entry()))
         assert not services.planner_transports._open_transports
         since = now_ms()
-        services.apply(settings_of(fleet.service.entry(), other.entry()))
+        services.apply(make_settings(fleet.service.entry(), other.entry()))
         await until(lambda: fleet.have_all_reported_since(since))
         assert len(services.planner_transports._open_transports) == 1
 
--- a/tests/services/harness.py
+++ b/tests/services/harness.py
@@ -27,19 +27,19 @@
 }
 
 
-def toml_of(value: Any) -> str:
+def to_toml(value: Any) -> str:
     """Return a value as TOML with inline tables, sufficient for configurations made in tests."""
     if isinstance(value, dict):
-        return "{" + ", ".join(f'"{key}" = {toml_of(part)}' for key, part in value.items()) + "}"
+        return "{" + ", ".join(f'"{key}" = {to_toml(item)}' for key, item in value.items()) + "}"
     if isinstance(value, list | tuple):
-        return "[" + ", ".join(map(toml_of, value)) + "]"
+        return "[" + ", ".join(map(to_toml, value)) + "]"
     if isinstance(value, bool):
         return str(value).lower()
     return f'"{value}"' if isinstance(value, str) else repr(value)
 
 
 def encode_settings_file(content: dict[str, Any]) -> bytes:
-    text = "\n".join(f"{key} = {toml_of(value)}" for key, value in content.items())
+    text = "\n".join(f"{key} = {to_toml(value)}" for key, value in content.items())
     assert tomllib.loads(text) == content
     return text.encode()
 
@@ -89,14 +89,14 @@
     def server_entries(self) -> list[dict[str, Any]]:
         return [{"name": server.model.name, "address": server.host_port()} for server in self.servers]
 
-    def entry(self, **more: Any) -> dict[str, Any]:
+    def entry(self, **overrides: Any) -> dict[str, Any]:
         """Return the service's part of an operators' file: routed by host, with all classes."""
         entry = {
             "name": self.name,
             "classes": CLASSES,
             "routes": [{"host": f"{self.name}.example.org"}],
             "servers": self.server_entries(),
-            **more,
+            **overrides,
         }
         return {key: value for key, value in entry.items() if value is not None}
 
@@ -110,8 +110,8 @@
         ]
 
 
-def settings_of(*entries: dict[str, Any], **more: Any) -> Settings:
-    content = {"listener": [{"address": "127.0.0.1:1"}], "service": list(entries), **more}
+def make_settings(*entries: dict[str, Any], **overrides: Any) -> Settings:
+    content = {"listener": [{"address": "127.0.0.1:1"}], "service": list(entries), **overrides}
     return read_settings(encode_settings_file(content), "test.toml")
 
 
@@ -138,9 +138,9 @@
         """Send one request on its own connection; return everything that comes back."""
         reader, writer = await asyncio.open_connection(*self.address)
         writer.write("\r\n".join([*lines, "Connection: close", "", ""]).encode("latin-1") + body)
-        answer = await reader.read()
+        response = await reader.read()
         writer.close()
-        return answer
+        return response
 
     async def status(self, *lines: str, body: bytes = b"") -> int:
         return int((await self.send_request(*lines, body=body)).split(b" ")[1])
--- a/tests/services/test_endpoint_lists.py
+++ b/tests/services/test_endpoint_lists.py
@@ -14,7 +14,7 @@
 Events = list[EndpointListUpdate[str]]
 
 
-def full(*servers: Endpoint) -> EndpointsChanged:
+def full_list(*servers: Endpoint) -> EndpointsChanged:
     return EndpointsChanged(EndpointListKind.FULL, servers)
 
 
@@ -28,23 +28,23 @@
     }
 
 
-ONE, TWO = Endpoint("s1"), Endpoint("s2")
-ONE_DRAINS = replace(ONE, state=EndpointState.DRAINING)
+SERVER_1, SERVER_2 = Endpoint("s1"), Endpoint("s2")
+SERVER_1_DRAINING = replace(SERVER_1, state=EndpointState.DRAINING)
 
 
 def test_a_draining_state_in_one_services_list_applies_to_all_that_share_the_address() -> None:
     endpoint_lists: EndpointLists[str] = EndpointLists()
-    endpoint_lists.update("a", full(ONE, TWO), addresses(ONE, TWO))
-    endpoint_lists.update("b", full(ONE), addresses(ONE))
+    endpoint_lists.update("a", full_list(SERVER_1, SERVER_2), addresses(SERVER_1, SERVER_2))
+    endpoint_lists.update("b", full_list(SERVER_1), addresses(SERVER_1))
     events = endpoint_lists.update(
-        "a", EndpointsChanged(EndpointListKind.DELTA, (ONE_DRAINS,)), addresses(ONE)
+        "a", EndpointsChanged(EndpointListKind.DELTA, (SERVER_1_DRAINING,)), addresses(SERVER_1)
     )
     assert states(events) == {("a", "s1"): EndpointState.DRAINING, ("b", "s1"): EndpointState.DRAINING}
     # b's own source may go on calling it ready.
-    assert states(endpoint_lists.update("b", full(ONE), addresses(ONE))) == {
+    assert states(endpoint_lists.update("b", full_list(SERVER_1), addresses(SERVER_1))) == {
         ("b", "s1"): EndpointState.DRAINING
     }
-    events = endpoint_lists.update("a", full(ONE, TWO), addresses(ONE, TWO))
+    events = endpoint_lists.update("a", full_list(SERVER_1, SERVER_2), addresses(SERVER_1, SERVER_2))
     assert states(events) == {
         ("a", "s1"): EndpointState.READY,
         ("a", "s2"): EndpointState.READY,
@@ -54,18 +54,18 @@
 
 def test_draining_states_of_a_removed_service_no_longer_apply() -> None:
     endpoint_lists: EndpointLists[str] = EndpointLists()
-    endpoint_lists.update("b", full(ONE), addresses(ONE))
-    endpoint_lists.update("a", full(ONE_DRAINS), addresses(ONE))
+    endpoint_lists.update("b", full_list(SERVER_1), addresses(SERVER_1))
+    endpoint_lists.update("a", full_list(SERVER_1_DRAINING), addresses(SERVER_1))
     assert states(endpoint_lists.remove_service("a")) == {("b", "s1"): EndpointState.READY}
     assert endpoint_lists.remove_service("b") == [] and endpoint_lists.remove_service("never known") == []
 
 
 def test_a_failed_endpoint_list_changes_nothing() -> None:
     endpoint_lists: EndpointLists[str] = EndpointLists()
-    endpoint_lists.update("a", full(ONE_DRAINS), addresses(ONE))
+    endpoint_lists.update("a", full_list(SERVER_1_DRAINING), addresses(SERVER_1))
     event = EndpointsChanged(EndpointListKind.FAILED)
     assert endpoint_lists.update("a", event, {}) == [EndpointListUpdate("a", event, {})]
-    assert states(endpoint_lists.update("b", full(ONE), addresses(ONE))) == {
+    assert states(endpoint_lists.update("b", full_list(SERVER_1), addresses(SERVER_1))) == {
         ("b", "s1"): EndpointState.DRAINING
     }
 
@@ -98,24 +98,27 @@
                     if kind is EndpointListKind.DELTA or state is not EndpointState.REMOVED
                 }.values()
             )
-            own = lists.setdefault(service, {})
+            entries_by_name = lists.setdefault(service, {})
             if kind is EndpointListKind.FULL:
-                own.clear()
+                entries_by_name.clear()
             for server in servers:
-                own[server.name] = server.state
+                entries_by_name[server.name] = server.state
             events = endpoint_lists.update(service, EndpointsChanged(kind, servers), addresses(*servers))
-        for applied in events:
-            known = delivered.setdefault(applied.service, {})
-            if applied.event.kind is EndpointListKind.FULL:
-                known.clear()
-            known.update({server.name: server.state for server in applied.event.endpoints})
-        is_draining = {
-            name for own in lists.values() for name, state in own.items() if state is EndpointState.DRAINING
+        for update in events:
+            delivered_list = delivered.setdefault(update.service, {})
+            if update.event.kind is EndpointListKind.FULL:
+                delivered_list.clear()
+            delivered_list.update({server.name: server.state for server in update.event.endpoints})
+        draining_names = {
+            name
+            for entries_by_name in lists.values()
+            for name, state in entries_by_name.items()
+            if state is EndpointState.DRAINING
         }
-        for name, own in lists.items():
+        for name, entries_by_name in lists.items():
             expected = {
-                server: EndpointState.DRAINING if server in is_draining else state
-                for server, state in own.items()
+                server: EndpointState.DRAINING if server in draining_names else state
+                for server, state in entries_by_name.items()
                 if state is not EndpointState.REMOVED
             }
             delivered_states = {
--- a/tests/services/test_golden_settings.py
+++ b/tests/services/test_golden_settings.py
@@ -30,20 +30,20 @@
 FILES = pytest.mark.parametrize("name", FIXTURE["files"])
 
 
-def modules(settings: Settings) -> dict[str, Any]:
+def decision_module_settings(settings: Settings) -> dict[str, Any]:
     """Return by service the decision module's settings, and whether rejections may carry Retry-After."""
-    given: list[Any] = []
+    module_settings: list[Any] = []
 
-    def record(module: Any, seed: int, retry_after: bool) -> HostSettings:
-        given.append([to_plain(module), retry_after])
-        return HostSettings(module, seed, retry_after)
+    def record(balancer_settings: Any, seed: int, retry_after: bool) -> HostSettings:
+        module_settings.append([to_plain(balancer_settings), retry_after])
+        return HostSettings(balancer_settings, seed, retry_after)
 
     async def set_up() -> None:
         with mock.patch.object(service_instance, HostSettings.__name__, record):
             ServiceManager(settings, asyncio.get_running_loop()).stop()
 
     asyncio.run(set_up())
-    return dict(zip((service.name for service in settings.service), given, strict=True))
+    return dict(zip((service.name for service in settings.service), module_settings, strict=True))
 
 
 @FILES
@@ -57,4 +57,4 @@
 
 @FILES
 def test_the_decision_module_is_set_up_with_the_same_values(name: str) -> None:
-    assert modules(load_settings(PATHS[name])) == FIXTURE["files"][name]["modules"]
+    assert decision_module_settings(load_settings(PATHS[name])) == FIXTURE["files"][name]["modules"]
--- a/tests/services/test_request_reader.py
+++ b/tests/services/test_request_reader.py
@@ -7,14 +7,14 @@
 import pytest
 
 from tests.proxy_harness import FakeServer, run
-from tests.services.harness import CLASSES, ServicesHarness, StandInService, settings_of
+from tests.services.harness import CLASSES, ServicesHarness, StandInService, make_settings
 
 LOOK = {"look": CLASSES["look"]}
 
 
-async def lone(**more: object) -> tuple[StandInService, ServicesHarness]:
+async def start_one_service(**overrides: object) -> tuple[StandInService, ServicesHarness]:
     a = await StandInService("a").add(1)
-    return a, await ServicesHarness(settings_of(a.entry(**more))).start()
+    return a, await ServicesHarness(make_settings(a.entry(**overrides))).start()
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
 )
 def test_malformed_requests_are_rejected(lines: tuple[str, ...], status: int) -> None:
     async def test() -> None:
-        a, harness = await lone()
+        a, harness = await start_one_service()
         assert await harness.status(*lines) == status
         assert len(a.request_log.entries) == (status == 200 and "/up" not in lines[0])
 
@@ -65,7 +65,7 @@
 
 def test_a_service_with_one_class_needs_no_class_header() -> None:
     async def test() -> None:
-        a, harness = await lone(classes=LOOK)
+        a, harness = await start_one_service(classes=LOOK)
         assert await harness.status("GET / HTTP/1.1", "Host: a.example.org") == 200
         assert await harness.status("GET / HTTP/1.1", "Host: a.example.org") == 200
         first, second = a.request_log.entries
@@ -80,7 +80,7 @@
             {"host": "a.example.org", "class": "look"},
             {"host": "a.example.org", "path": "/pay", "class": "charge"},
         ]
-        _, harness = await lone(routes=routes)
+        _, harness = await start_one_service(routes=routes)
         assert await harness.status("GET /x HTTP/1.1", "Host: a.example.org") == 200
         assert await harness.status("POST /pay HTTP/1.1", "Host: a.example.org", "Content-Length: 0") == 200
         assert await harness.status("GET /pay HTTP/1.1", "Host: a.example.org") == 405
@@ -93,8 +93,8 @@
     async def test() -> None:
         server, a = await FakeServer().start(), StandInService("a")
         entry = a.entry(classes=LOOK, servers=[{"name": "s", "address": server.address}])
-        harness = await ServicesHarness(settings_of(entry)).start()
-        asked = asyncio.ensure_future(
+        harness = await ServicesHarness(make_settings(entry)).start()
+        response_task = asyncio.ensure_future(
             harness.send_request("GET http://a.example.org:80/x?y=1 HTTP/1.1", "Host: other")
         )
         call = await server.next()
@@ -102,13 +102,13 @@
         assert call.message.headers["host"] == "a.example.org:80"
         assert 0.0 < float(call.message.headers["x-expires-in"]) < 1.0
         call.reply(200, b"x")
-        assert (await asked).startswith(b"HTTP/1.1 200")
+        assert (await response_task).startswith(b"HTTP/1.1 200")
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "answers", "seen"),
+    ("status", "headers", "answers", "expected_status"),
     [
         (200, (), "any", 200),
         (201, (), "any", 201),
@@ -120,20 +120,20 @@
     ],
 )
 def test_a_response_of_the_server_is_forwarded_unless_it_is_a_fault(
-    status: int, headers: tuple[str, ...], answers: str, seen: int
+    status: int, headers: tuple[str, ...], answers: str, expected_status: int
 ) -> None:
     async def test() -> None:
         server, a = await FakeServer().start(), StandInService("a")
         classes = {"charge": CLASSES["charge"]}
         entry = a.entry(classes=classes, answers=answers, servers=[{"name": "s", "address": server.address}])
-        harness = await ServicesHarness(settings_of(entry)).start()
-        asked = asyncio.ensure_future(
+        harness = await ServicesHarness(make_settings(entry)).start()
+        response_task = asyncio.ensure_future(
             harness.send_request("POST /x HTTP/1.1", "Host: a.example.org", "Content-Length: 0")
         )
         (await server.next()).reply(status, b"own words", *headers)
-        answer = await asked
-        assert answer.startswith(b"HTTP/1.1 %d " % seen)
-        assert answer.endswith(b"own words") == (seen == status)
+        response = await response_task
+        assert response.startswith(b"HTTP/1.1 %d " % expected_status)
+        assert response.endswith(b"own words") == (expected_status == status)
 
     run(test)
 
@@ -143,13 +143,15 @@
     async def test() -> None:
         server, a = await FakeServer().start(), StandInService("a")
         entry = a.entry(classes=LOOK, servers=[{"name": "s", "address": server.address}])
-        harness = await ServicesHarness(settings_of(entry)).start()
+        harness = await ServicesHarness(make_settings(entry)).start()
         for number in range(2):
-            asked = asyncio.ensure_future(harness.send_request("GET /x HTTP/1.1", "Host: a.example.org"))
+            response_task = asyncio.ensure_future(
+                harness.send_request("GET /x HTTP/1.1", "Host: a.example.org")
+            )
             call = await server.next()
             call.writer.write(b"HTTP/1.1 %d X\r\nETag: %d\r\n\r\n" % (status, number))
-            answer = await asked
-            assert answer.startswith(b"HTTP/1.1 %d " % status) and b"Content-Length" not in answer
-            assert answer.endswith(b"\r\n\r\n")
+            response = await response_task
+            assert response.startswith(b"HTTP/1.1 %d " % status) and b"Content-Length" not in response
+            assert response.endswith(b"\r\n\r\n")
 
     run(test)
--- a/tests/services/test_routing_table.py
+++ b/tests/services/test_routing_table.py
@@ -43,7 +43,7 @@
 )
 
 
-def found(host: str, path: str, cls: str | None = None) -> str | int:
+def service_or_status(host: str, path: str, cls: str | None = None) -> str | int:
     try:
         return TABLE.find(host.encode("latin-1"), path.encode(), cls).service
     except RoutingError as problem:
@@ -85,7 +85,7 @@
     ],
 )
 def test_the_closest_route_matches(host: str, path: str, cls: str | None, service: str | int) -> None:
-    assert found(host, path, cls) == service
+    assert service_or_status(host, path, cls) == service
 
 
 @pytest.mark.parametrize(
@@ -113,7 +113,7 @@
     ],
 )
 def test_a_malformed_host_is_400(host: str) -> None:
-    assert found(host, "/open") == 400
+    assert service_or_status(host, "/open") == 400
 
 
 @pytest.mark.parametrize(
@@ -141,23 +141,23 @@
 )
 def test_no_path_with_dot_segments_reaches_another_route(path: str) -> None:
     """It is rejected, or strict and lenient servers agree on its reading."""
-    got = found("search.example.org", path)
-    assert got == 400
+    result = service_or_status("search.example.org", path)
+    assert result == 400
 
 
 @pytest.mark.parametrize("path", ["/a%2Fb", "/a;v=1", "/a//b", "/a%20b", "/~a", "/a%7Eb", "/%C3%A9"])
 def test_unusual_but_unambiguous_paths_are_routed(path: str) -> None:
-    assert found("search.example.org", path) == "search"
+    assert service_or_status("search.example.org", path) == "search"
 
 
 NAMES = st.text(string.ascii_lowercase, min_size=1, max_size=2)
-PIECES = st.lists(
+PATH_FRAGMENTS = st.lists(
     st.sampled_from(["a", "b", "/", "..", ".", "%2f", "%2F", "%2e", "%61", ";x", "\\", "%5c", "%"]),
     max_size=8,
 ).map("".join)
 
 
-@given(PIECES)
+@given(PATH_FRAGMENTS)
 def test_strict_and_lenient_servers_agree_on_the_service(path: str) -> None:
     """A lenient server resolves dot segments, escapes, backslashes and parameters.
 
@@ -197,19 +197,23 @@
         "/" + "/".join(prefix): route("/" + "/".join(prefix), "", "/" + "/".join(prefix))
         for prefix in prefixes
     }
-    fitting = [prefix for prefix in prefixes if path[: len(prefix)] == prefix]
+    matching_prefixes = [prefix for prefix in prefixes if path[: len(prefix)] == prefix]
     try:
-        got = RoutingTable(routes.values()).find(b"h", b"/" + "/".join(path).encode(), None).service
+        result = RoutingTable(routes.values()).find(b"h", b"/" + "/".join(path).encode(), None).service
     except RoutingError as problem:
-        assert problem.status == 404 and not fitting
+        assert problem.status == 404 and not matching_prefixes
     else:
-        longest: list[str] = max(fitting, key=len)
-        assert got == "/" + "/".join(longest)
+        longest: list[str] = max(matching_prefixes, key=len)
+        assert result == "/" + "/".join(longest)
 
 
 def test_ambiguous_routes_are_found() -> None:
-    one, two, three = route("a", "X.org", "/p"), route("b", "x.ORG.", "/%70/"), route("b", "x.org", "/p", "c")
-    assert list(find_ambiguous_routes([one, two, three])) == [(one, two)]
+    first, duplicate, with_class = (
+        route("a", "X.org", "/p"),
+        route("b", "x.ORG.", "/%70/"),
+        route("b", "x.org", "/p", "c"),
+    )
+    assert list(find_ambiguous_routes([first, duplicate, with_class])) == [(first, duplicate)]
 
 
 @pytest.mark.parametrize("text", ["a b", "*", "*.", "a.*.b", "x:80", "a/b", "*a.org"])
--- a/tests/services/test_serve.py
+++ b/tests/services/test_serve.py
@@ -19,13 +19,13 @@
 from tests.services.harness import StandInService, encode_settings_file
 
 
-def content(*entries: dict[str, Any], port: int = 0) -> bytes:
+def settings_file(*entries: dict[str, Any], port: int = 0) -> bytes:
     return encode_settings_file({"listener": [{"address": f"127.0.0.1:{port}"}], "service": list(entries)})
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "cometdoor", *words],
+        [sys.executable, "-m", "cometdoor", *arguments],
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -34,32 +34,32 @@
     )
 
 
-def hang_up(proxy: ProxyProcess) -> None:
+def send_sighup(proxy: ProxyProcess) -> None:
     assert proxy.process is not None
     proxy.process.send_signal(signal.SIGHUP)
 
 
 def test_check_shows_the_routes() -> None:
-    done = command("check", "deploy/services.example.toml")
-    assert done.returncode == 0 and "reserve.example.org / -> reserve" in done.stdout
+    result = run_command("check", "deploy/services.example.toml")
+    assert result.returncode == 0 and "reserve.example.org / -> reserve" in result.stdout
 
 
-@pytest.mark.parametrize("word", ["check", "serve"])
-def test_an_invalid_file_is_rejected_with_all_its_errors(word: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("command_name", ["check", "serve"])
+def test_an_invalid_file_is_rejected_with_all_its_errors(command_name: str, tmp_path: Path) -> None:
     file = tmp_path / "bad.toml"
     file.write_text("sockets = 1\nlistener = []\nservice = 5\n")
-    done = command(word, str(file))
-    assert done.returncode == 2 and done.stdout == ""
-    assert sorted(done.stderr.splitlines()) == [
+    result = run_command(command_name, str(file))
+    assert result.returncode == 2 and result.stdout == ""
+    assert sorted(result.stderr.splitlines()) == [
         f"{file}: service: a list is needed, not a number",
         f"{file}: sockets: expected int >= 64; it is 1",
     ]
 
 
-@pytest.mark.parametrize("words", [("fly",), ("check",), ("serve", "a", "b")])
-def test_an_invalid_command_line_is_rejected(words: tuple[str, ...]) -> None:
-    done = command(*words)
-    assert done.returncode == 2 and "usage: cometdoor" in done.stderr
+@pytest.mark.parametrize("arguments", [("fly",), ("check",), ("serve", "a", "b")])
+def test_an_invalid_command_line_is_rejected(arguments: tuple[str, ...]) -> None:
+    result = run_command(*arguments)
+    assert result.returncode == 2 and "usage: cometdoor" in result.stderr
 
 
 def test_the_proxy_on_the_platform_imports_no_modules_of_the_services_proxy(tmp_path: Path) -> None:
@@ -72,38 +72,40 @@
         "'cometdoor.planning', 'cometdoor.host.settings_validation', 'cometdoor.host.struct_settings', "
         "'cometdoor.host.dataclass_settings'))])"
     )
-    done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout == "[]\n"
+    result = subprocess.run(
+        [sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert result.stdout == "[]\n"
 
 
 def test_sighup_applies_a_valid_file_and_ignores_an_invalid_one(tmp_path: Path) -> None:
     async def test() -> None:
         a, b = await StandInService("a").add(2), await StandInService("b").add(2)
         file = tmp_path / "services.toml"
-        file.write_bytes(content(a.entry()))
+        file.write_bytes(settings_file(a.entry()))
         proxy = await ProxyProcess(file).start()
         assert proxy.process is not None
         load = LoadGenerator(proxy.address, [*a.load(100, 30, 30), *b.load(60)], 1)
         running = asyncio.ensure_future(load.run(2.0))
         while len(a.request_log.entries) < 40:
             await asyncio.sleep(0.01)
-        file.write_bytes(content(a.entry())[:-40])
-        hang_up(proxy)
+        file.write_bytes(settings_file(a.entry())[:-40])
+        send_sighup(proxy)
         await proxy.wait_for_log("stays as it was")
-        file.write_bytes(content(a.entry(), b.entry()))
-        hang_up(proxy)
-        hang_up(proxy)
+        file.write_bytes(settings_file(a.entry(), b.entry()))
+        send_sighup(proxy)
+        send_sighup(proxy)
         assert "starts b; goes on a" in await proxy.wait_for_log("starts b")
         while len(b.request_log.entries) < 20:
             await asyncio.sleep(0.01)
-        file.write_bytes(content(a.entry(), b.entry(), port=1))
-        hang_up(proxy)
+        file.write_bytes(settings_file(a.entry(), b.entry(), port=1))
+        send_sighup(proxy)
         await proxy.wait_for_log("used only after a restart: listener")
         client_log = await running
-        of_a, of_b = client_log.for_service("a"), client_log.for_service("b")
-        assert all(one.was_served for one in of_a)
-        assert {one.status for one in of_b} == {404, 200}
-        client_log.attempts = of_a
+        attempts_a, attempts_b = client_log.for_service("a"), client_log.for_service("b")
+        assert all(attempt.was_served for attempt in attempts_a)
+        assert {attempt.status for attempt in attempts_b} == {404, 200}
+        client_log.attempts = attempts_a
         assert not check_rules(client_log, a.request_log)
         assert await proxy.stop() == 0
 
@@ -114,7 +116,7 @@
     async def test() -> None:
         a = await StandInService("a").add(2)
         file = tmp_path / "services.toml"
-        file.write_bytes(content(a.entry()))
+        file.write_bytes(settings_file(a.entry()))
         proxy = await ProxyProcess(file).start()
         a.freeze()
         load = LoadGenerator(proxy.address, a.load(0, 0, 0), 1)
@@ -127,7 +129,7 @@
         file.write_bytes(b"nothing")
         proxy.process.terminate()
         await proxy.wait_for_log("requests are open")  # two signals sent at once may come in either order
-        hang_up(proxy)
+        send_sighup(proxy)
         await proxy.wait_for_log("is not read again")
         a.thaw()
         client_log = await running
@@ -143,7 +145,7 @@
         for server in a.servers:
             discovery.publish(server.model.name, server.host_port())
         file = tmp_path / "services.toml"
-        file.write_bytes(content(a.entry(servers=None, discovery=discovery.host_port())))
+        file.write_bytes(settings_file(a.entry(servers=None, discovery=discovery.host_port())))
         proxy = await ProxyProcess(file).start()
         load = LoadGenerator(proxy.address, a.load(200, 50, 50), 1)
         running = asyncio.ensure_future(load.run(1.5))
@@ -153,8 +155,12 @@
         client_log = await running
         notified_at = discovery.notified_at["a-0", "terminating"]
         assert not check_rules(client_log, a.request_log, {"a-0": notified_at})
-        served = [one for one in client_log.attempts if one.sent_at > client_log.attempts[0].sent_at + 0.5]
-        assert served and all(one.was_served for one in served)
+        served = [
+            attempt
+            for attempt in client_log.attempts
+            if attempt.sent_at > client_log.attempts[0].sent_at + 0.5
+        ]
+        assert served and all(attempt.was_served for attempt in served)
         discovery.stop()
         assert await proxy.stop() == 0
 
@@ -165,18 +171,18 @@
     async def test() -> None:
         a = await StandInService("a").add(1)
         file = tmp_path / "services.toml"
-        file.write_bytes(content(a.entry(), port=a.servers[0].address[1]))
-        done = await asyncio.to_thread(command, "serve", str(file))
-        assert done.returncode == 1 and "cometdoor: " in done.stderr and "Traceback" not in done.stderr
+        file.write_bytes(settings_file(a.entry(), port=a.servers[0].address[1]))
+        result = await asyncio.to_thread(run_command, "serve", str(file))
+        assert result.returncode == 1 and "cometdoor: " in result.stderr and "Traceback" not in result.stderr
 
     run(test)
 
 
 def test_the_demo_shows_one_service_fail_alone() -> None:
-    done = command("demo", "--seconds", "3", "--plain")
-    assert done.returncode == 0, done.stdout + done.stderr
+    result = run_command("demo", "--seconds", "3", "--plain")
+    assert result.returncode == 0, result.stdout + result.stderr
     rows = [
-        line.split() for line in done.stdout.splitlines() if line.split()[:1] in (["search"], ["reserve"])
+        line.split() for line in result.stdout.splitlines() if line.split()[:1] in (["search"], ["reserve"])
     ]
     search, search_frozen, reserve, reserve_frozen = rows
     search_frozen, reserve_frozen = search_frozen[1:], reserve_frozen[1:]  # named in two words
--- a/tests/services/test_settings_file.py
+++ b/tests/services/test_settings_file.py
@@ -12,7 +12,7 @@
 from cometdoor.services.settings import load_settings, read_settings
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "services.example.toml"
-GOOD = """
+VALID_SETTINGS = """
 [[listener]]
 address = "127.0.0.1:8080"
 [[service]]
@@ -42,7 +42,7 @@
 
 
 def test_ten_errors_of_the_schema_are_reported_together() -> None:
-    found = problems("""
+    reported = problems("""
 socket = 100
 sockets = "many"
 [[listener]]
@@ -61,12 +61,12 @@
 from = 2.0
 warm_up_ms = 1
 """)
-    assert found == {
+    assert reported == {
         "socket": "unknown key; did you mean sockets?",
         "sockets": "expected int, got str; it is 'many'",
         "listener.0.adress": "unknown key; did you mean address?",
         "listener.0.address": "missing; a string is expected",
-        "service.0.name": found["service.0.name"],
+        "service.0.name": reported["service.0.name"],
         "service.0.routes.0.host": "expected str, got int; it is 5",
         "service.0.servers.0.weight": "expected float > 0.0; it is -1",
         "service.0.servers.1.address": "missing; a string is expected",
@@ -80,7 +80,7 @@
 
 
 def test_ten_errors_across_values_are_reported_together() -> None:
-    found = problems("""
+    reported = problems("""
 up = "/health"
 sockets = 64
 [fleet]
@@ -110,7 +110,7 @@
 routes = [{host = "x.org"}]
 [service.classes]
 """)
-    assert set(found) == {
+    assert set(reported) == {
         "fleet.place",
         "listener.0.address",
         "listener.1.address",
@@ -127,14 +127,16 @@
         "service.1.routes.0",
         "sockets",
     }
-    assert found["service.1.routes.0"] == (
+    assert reported["service.1.routes.0"] == (
         "x.org / to a has the same right as service.0.routes.0, x.org / to a; one of the two must say more"
     )
-    assert "500" in found["sockets"] and found["service.0.routes.2.class"].endswith("it has look, charge")
+    assert "500" in reported["sockets"] and reported["service.0.routes.2.class"].endswith(
+        "it has look, charge"
+    )
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected_text"),
     [
         ("a = [", "not valid TOML: "),
         ("a = 1\na = 2", "not valid TOML: "),
@@ -142,8 +144,8 @@
         ("", "missing"),
     ],
 )
-def test_invalid_toml_is_one_error_with_its_position(text: str | bytes, said: str) -> None:
-    assert all(value.startswith(said) for value in problems(text).values())
+def test_invalid_toml_is_one_error_with_its_position(text: str | bytes, expected_text: str) -> None:
+    assert all(value.startswith(expected_text) for value in problems(text).values())
 
 
 def test_an_unreadable_file_is_an_error_of_the_file(tmp_path: Path) -> None:
@@ -168,26 +170,26 @@
         "service.0.routes.0.host": 'host = "a:1"',
         "service.0": 'discovery = "h:1"\n' + change,
     }[path]
-    assert path in problems(GOOD.replace(change, replaced))
+    assert path in problems(VALID_SETTINGS.replace(change, replaced))
 
 
 @given(
     st.recursive(
         st.one_of(st.integers(-5, 5), st.booleans(), st.sampled_from(["a", "safe", "/x", "h:1"])),
-        lambda inner: st.one_of(
-            st.lists(inner, max_size=3).map(lambda parts: f"[{', '.join(map(str, parts))}]"),
-            st.dictionaries(st.sampled_from(["name", "routes", "classes", "servers"]), inner, max_size=3),
+        lambda child: st.one_of(
+            st.lists(child, max_size=3).map(lambda items: f"[{', '.join(map(str, items))}]"),
+            st.dictionaries(st.sampled_from(["name", "routes", "classes", "servers"]), child, max_size=3),
         ),
         max_leaves=6,
     )
 )
 def test_no_toml_value_raises_another_error(value: object) -> None:
-    def text(part: object) -> str:
-        if isinstance(part, dict):
-            return "{" + ", ".join(f"{key} = {text(inner)}" for key, inner in part.items()) + "}"
-        if isinstance(part, bool):
-            return str(part).lower()
-        return str(part) if isinstance(part, int) or str(part).startswith("[") else f'"{part}"'
+    def text(item: object) -> str:
+        if isinstance(item, dict):
+            return "{" + ", ".join(f"{key} = {text(child)}" for key, child in item.items()) + "}"
+        if isinstance(item, bool):
+            return str(item).lower()
+        return str(item) if isinstance(item, int) or str(item).startswith("[") else f'"{item}"'
 
     with pytest.raises(SettingsError):
         read_settings(f"service = {text(value)}\nlistener = {text(value)}".encode(), "f.toml")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -61,15 +61,15 @@
     assert find_spec(module) is not None
 
 
-@pytest.mark.parametrize("words", OPTIONS)
-def test_a_command_has_the_same_words_and_options(words: str) -> None:
-    shown = subprocess.run(
-        [sys.executable, "-m", "cometdoor", *words.split(), "--help"],
+@pytest.mark.parametrize("command", OPTIONS)
+def test_a_command_has_the_same_words_and_options(command: str) -> None:
+    result = subprocess.run(
+        [sys.executable, "-m", "cometdoor", *command.split(), "--help"],
         capture_output=True,
         text=True,
         cwd=ROOT,
         timeout=60,
         check=False,
     )
-    assert shown.returncode == 0, shown.stderr
-    assert set(re.findall(r"(?<![\w-])--[a-z][a-z-]*", shown.stdout)) - {"--help"} == OPTIONS[words]
+    assert result.returncode == 0, result.stderr
+    assert set(re.findall(r"(?<![\w-])--[a-z][a-z-]*", result.stdout)) - {"--help"} == OPTIONS[command]
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -53,8 +53,8 @@
 
 
 def test_constraints_pin_exactly_what_the_declared_libraries_bring() -> None:
-    everything = read_dependencies(PYPROJECT, EXTRAS)
-    assert pins() == installed_closure(everything)
+    declared = read_dependencies(PYPROJECT, EXTRAS)
+    assert pins() == installed_closure(declared)
 
 
 def test_the_extra_for_developers_brings_all_that_any_other_brings() -> None:
@@ -85,8 +85,12 @@
     packages, build = content["packages"], content["build"]
     assert packages and packages == sorted(set(packages))
     assert all(re.fullmatch(r"[a-z0-9][a-z0-9+.-]+", package) for package in packages)
-    needs = {"python3": "python3", "python3-pip": "python3 -m pip", "python3-venv": "python3 -m venv"}
-    for package, command in needs.items():
+    commands_by_package = {
+        "python3": "python3",
+        "python3-pip": "python3 -m pip",
+        "python3-venv": "python3 -m venv",
+    }
+    for package, command in commands_by_package.items():
         assert package in packages or not re.search(rf"(?<![\w/]){command}\b", build), package
     (command,) = re.findall(r"^apt-get install (?:--\S+ )*(.+)$", README, re.MULTILINE)
     assert set(packages) <= set(command.split())
@@ -96,8 +100,8 @@
 def test_builds_install_what_is_declared_by_the_pins(deploy_file: str) -> None:
     build = tomllib.loads((ROOT / deploy_file).read_text())["build"]
     assert "-c constraints.txt" in build
-    found = re.search(r"\$\(\S+ tools/dependencies\.py([ \w]*)\)", build)
-    assert found is not None and found[1].split() == DEPLOY_FILES[deploy_file]
+    match = re.search(r"\$\(\S+ tools/dependencies\.py([ \w]*)\)", build)
+    assert match is not None and match[1].split() == DEPLOY_FILES[deploy_file]
     printed = subprocess.run(
         [sys.executable, ROOT / "tools" / "dependencies.py", *DEPLOY_FILES[deploy_file]],
         capture_output=True,
@@ -107,13 +111,13 @@
     )
     declared = [
         *PROJECT["dependencies"],
-        *(one for extra in DEPLOY_FILES[deploy_file] for one in EXTRAS[extra]),
+        *(requirement for extra in DEPLOY_FILES[deploy_file] for requirement in EXTRAS[extra]),
     ]
     assert printed.stdout.split() == declared
 
 
 def test_nothing_names_a_list_of_requirements_beside_pyproject() -> None:
     assert not list(ROOT.glob("requirements*"))
-    places = [ROOT / "Makefile", ROOT / "README.md", ROOT / ".ci" / "run", *map(ROOT.joinpath, DEPLOY_FILES)]
-    for place in places:
-        assert not re.search(r"requirements[\w-]*\.txt", place.read_text()), place
+    paths = [ROOT / "Makefile", ROOT / "README.md", ROOT / ".ci" / "run", *map(ROOT.joinpath, DEPLOY_FILES)]
+    for path in paths:
+        assert not re.search(r"requirements[\w-]*\.txt", path.read_text()), path
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -34,7 +34,7 @@
     )
 
 
-async def until_serving(process: asyncio.subprocess.Process) -> None:
+async def wait_until_serving(process: asyncio.subprocess.Process) -> None:
     assert process.stderr is not None
     while line := await process.stderr.readline():
         if b"serves on" in line:
@@ -42,7 +42,7 @@
     raise AssertionError("the program ended")
 
 
-BROKEN = {
+INVALID_CONFIGS = {
     "no variable": None,
     "no JSON": "{",
     "no settings": "{}",
@@ -52,10 +52,10 @@
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
+@pytest.mark.parametrize("name", INVALID_CONFIGS)
 def test_an_invalid_configuration_prints_one_line_and_exits_2(name: str, tmp_path: Path) -> None:
     async def test() -> None:
-        process = await launch(BROKEN[name], tmp_path)
+        process = await launch(INVALID_CONFIGS[name], tmp_path)
         _, errors = await process.communicate()
         assert process.returncode == 2
         assert errors.startswith(b"cometdoor: bad configuration: ")
@@ -76,7 +76,7 @@
             ),
             tmp_path,
         )
-        await until_serving(process)
+        await wait_until_serving(process)
 
         async def connect() -> ProxyClient:
             return ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
@@ -115,7 +115,7 @@
         )
         config["settings"]["lanes"] = [{**lane, "aim_ms": 200.0, "deadline_ms": 200.0} for lane in LANES]
         process = await launch(json.dumps(config), tmp_path)
-        await until_serving(process)
+        await wait_until_serving(process)
         pending = ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
         partial = ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
         pending.send_request("pay", remaining_s="60.0")
@@ -144,14 +144,14 @@
             obligations={"ask_within_ms": 10.0},
         )
         process = await launch(json.dumps(config), tmp_path)
-        await until_serving(process)
+        await wait_until_serving(process)
         before = await old.next()
         assert before.message.start_line.endswith(b"index=41 HTTP/1.1")
         client = ProxyClient(*await asyncio.open_connection("127.0.0.1", port))
         client.send_request()
         call = await backend.next()
         path = tmp_path / "config.json"
-        for text, word in (
+        for text, expected_message in (
             ("{", b"stays as it was"),
             (
                 json.dumps({**config, "discovery": new.address, "listen": "127.0.0.1:1"}),
@@ -161,7 +161,7 @@
             path.write_text(text)
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
-            while word not in (line := await process.stderr.readline()):
+            while expected_message not in (line := await process.stderr.readline()):
                 assert line, "the program ended"
         after = await new.next()
         assert after.message.start_line == b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1"
