--- a/benchmarks/planning_simulation.py
+++ b/benchmarks/planning_simulation.py
@@ -19,8 +19,8 @@
 from simulation.planning import Result, SimulatedFleet, Size, play, run_schedule
 from simulation.planning_cases import CASES
 
-LARGE = Size(forwarders=1000, planners=3, servers=300, rate=2.0, skew=0.7, busy=0.5, seconds=12.0)
-QUICK_LARGE = Size(forwarders=300, planners=3, servers=90, rate=2.0, skew=0.7, busy=0.5, seconds=8.0)
+LARGE = Size(forwarders=1000, planners=3, servers=300, rate=2.0, skew=0.7, utilization=0.5, seconds=12.0)
+QUICK_LARGE = Size(forwarders=300, planners=3, servers=90, rate=2.0, skew=0.7, utilization=0.5, seconds=8.0)
 
 
 def large(seed_and_size: tuple[int, Size]) -> Result:
@@ -33,7 +33,7 @@
     """Return the share of attempts that a server gets while frozen for good, over a fair share."""
     seed, planners = seed_and_size
     fleet = SimulatedFleet(
-        seed, Size(forwarders=40, planners=planners, servers=20, rate=6.0, skew=0.0, busy=0.4)
+        seed, Size(forwarders=40, planners=planners, servers=20, rate=6.0, skew=0.0, utilization=0.4)
     )
     fleet.at(0.3, lambda: fleet.freeze("s3"))
     run_schedule(fleet)
@@ -77,7 +77,7 @@
         if of_case:
             print_progress(
                 f"  {case}: cold peak {max(result.slow_start_peak for result in of_case):.2f}, alarms "
-                f"{sum(result.alarms for result in of_case)}, sends lent "
+                f"{sum(result.false_alarms for result in of_case)}, sends lent "
                 f"{sum(result.leases for result in of_case)}"
             )
     report(
@@ -89,7 +89,7 @@
                 result.slow_start_peak for result in [*small_results, *large_results]
             ),
             "false_alarms_shared_slowdown": sum(
-                result.alarms
+                result.false_alarms
                 for result in [*small_results, *large_results]
                 if result.case == "shared slowdown"
             ),
--- a/cometdoor/planning/advice.py
+++ b/cometdoor/planning/advice.py
@@ -140,8 +140,8 @@
         """
         if age_ms is None or age_ms > ADVICE_TTL_MS:
             return False
-        known = self._received.get(planner)
-        if known is not None and known.written_ms > now_ms - age_ms:
+        last_received = self._received.get(planner)
+        if last_received is not None and last_received.written_ms > now_ms - age_ms:
             return False
         self._received[planner] = _ReceivedAdvice(
             now_ms - age_ms,
@@ -172,19 +172,19 @@
             if now_ms - written_ms <= ADVICE_TTL_MS
         ]
         subset_advice = fresh or [subset_scale for _, subset_scale in self._subset_scales.values()]
-        wanted = max(min(min(subset_advice, default=1.0), max_scale), 1.0)
+        advised = max(min(min(subset_advice, default=1.0), max_scale), 1.0)
         # Without advice the scale may always return to 1, however small the change: this can't flap.
-        changes = (
-            wanted > self._subset_scale * SUBSET_SCALE_MIN_CHANGE
-            or wanted * SUBSET_SCALE_MIN_CHANGE < self._subset_scale
-            or (wanted == 1.0 and not subset_advice)
+        is_significant = (
+            advised > self._subset_scale * SUBSET_SCALE_MIN_CHANGE
+            or advised * SUBSET_SCALE_MIN_CHANGE < self._subset_scale
+            or (advised == 1.0 and not subset_advice)
         )
         if (
-            changes
-            and wanted != self._subset_scale
+            is_significant
+            and advised != self._subset_scale
             and now_ms - self._scale_changed_ms >= SUBSET_SCALE_MIN_HOLD_MS
         ):
-            self._subset_scale, self._scale_changed_ms = wanted, now_ms
+            self._subset_scale, self._scale_changed_ms = advised, now_ms
         return self._subset_scale
 
     def compute_weight_shares(self, servers: Collection[bytes], now_ms: float) -> dict[bytes, float]:
@@ -195,31 +195,31 @@
         servers
             Ids of the servers that are ready in the forwarder's own list.
         """
-        wanted = self._wanted(servers, now_ms)
-        if len(wanted) > MAX_ADVISED_SHARE * len(servers):
-            wanted = {}
-        since_ms = 0.0 if self._combined_ms is None else now_ms - self._combined_ms
+        advised = self._advised_weight_shares(servers, now_ms)
+        if len(advised) > MAX_ADVISED_SHARE * len(servers):
+            advised = {}
+        elapsed_ms = 0.0 if self._combined_ms is None else now_ms - self._combined_ms
         self._combined_ms = now_ms
         weight_shares = {}
         for server in servers:
-            weight_share, before = wanted.get(server, 1.0), self._weight_shares.get(server, 1.0)
-            if weight_share > before:
-                weight_share = min(weight_share, before * 2.0 ** (since_ms / WEIGHT_DOUBLING_MS))
+            weight_share, previous = advised.get(server, 1.0), self._weight_shares.get(server, 1.0)
+            if weight_share > previous:
+                weight_share = min(weight_share, previous * 2.0 ** (elapsed_ms / WEIGHT_DOUBLING_MS))
             if weight_share < 1.0:
                 weight_shares[server] = max(weight_share, MIN_WEIGHT_SHARE)
         self._weight_shares = weight_shares
         return dict(weight_shares)
 
-    def _wanted(self, servers: Collection[bytes], now_ms: float) -> dict[bytes, float]:
+    def _advised_weight_shares(self, servers: Collection[bytes], now_ms: float) -> dict[bytes, float]:
         for planner in [
             planner
             for planner, received in self._received.items()
             if now_ms - received.written_ms > ADVICE_TTL_MS
         ]:
             del self._received[planner]
-        wanted = {}
-        named = {server for received in self._received.values() for server in received.weight_share}
-        for server in named.intersection(servers):
+        advised = {}
+        advised_servers = {server for received in self._received.values() for server in received.weight_share}
+        for server in advised_servers.intersection(servers):
             rated_shares = [
                 (self._trust_share(received, now_ms), received.weight_share.get(server, 1.0))
                 for received in self._received.values()
@@ -229,8 +229,8 @@
             # planner may be dead.
             fresh_shares = [weight_share for trust, weight_share in rated_shares if trust == 1.0]
             faded_shares = [weight_share**trust for trust, weight_share in rated_shares if weight_share < 1.0]
-            wanted[server] = max(fresh_shares or faded_shares, default=1.0)
-        return {server: weight_share for server, weight_share in wanted.items() if weight_share < 1.0}
+            advised[server] = max(fresh_shares or faded_shares, default=1.0)
+        return {server: weight_share for server, weight_share in advised.items() if weight_share < 1.0}
 
     @staticmethod
     def _trust_share(received: _ReceivedAdvice, now_ms: float) -> float:
--- a/cometdoor/planning/forwarder.py
+++ b/cometdoor/planning/forwarder.py
@@ -43,7 +43,7 @@
     return round(server.started_at + clock_offset_ms) % 65_535 + 1 if server.started_at else 0
 
 
-class FollowedAdvice(NamedTuple):
+class AppliedAdvice(NamedTuple):
     """Advice in the form in which the decision module last got it."""
 
     weight_shares: dict[str, float]
@@ -87,7 +87,7 @@
         self._send_rate = 0.0  # attempts per ms
         self._warm_rate = 0.0  # attempts per ms to a warm server of weight 1
         self._last_report_ms: float | None = None
-        self._last_advice = FollowedAdvice({}, 1.0)
+        self._last_advice = AppliedAdvice({}, 1.0)
 
     def change_keys(self, keys: KeyRing) -> None:
         """Seal and open messages with other keys from now on."""
@@ -125,8 +125,8 @@
         """Count an attempt; `latency_target_ms` is the latency target of its class."""
         self._reporter.on_attempt_sent(server, attempt, latency_target_ms, now_ms)
         self._sends += 1.0
-        known = self._ready_servers.get(server_id(server))
-        if known is not None and self._is_warm(known[0], now_ms):
+        ready_server = self._ready_servers.get(server_id(server))
+        if ready_server is not None and self._is_warm(ready_server[0], now_ms):
             self._warm_sends += 1.0
 
     def on_attempt_ended(
@@ -142,23 +142,23 @@
 
     def make_reports(self, now_ms: float) -> list[OutgoingMessage]:
         """Return a report to each planner."""
-        self._count_rate(now_ms)
+        self._update_rates(now_ms)
         body = self._reporter.report(self._warm_rate, now_ms)
         return [
             OutgoingMessage(planner, self._channel.seal(MessageKind.REPORT, planner, body, now_ms))
             for planner in range(self._planners)
         ]
 
-    def _count_rate(self, now_ms: float) -> None:
+    def _update_rates(self, now_ms: float) -> None:
         weight = sum(
             server.weight for server, _ in self._ready_servers.values() if self._is_warm(server, now_ms)
         )
         if self._last_report_ms is not None and now_ms > self._last_report_ms:
-            since_ms = now_ms - self._last_report_ms
-            alpha = min(since_ms / RATE_DECAY_MS, 1.0)
-            self._send_rate += alpha * (self._sends / since_ms - self._send_rate)
+            elapsed_ms = now_ms - self._last_report_ms
+            alpha = min(elapsed_ms / RATE_DECAY_MS, 1.0)
+            self._send_rate += alpha * (self._sends / elapsed_ms - self._send_rate)
             if weight > 0.0:
-                self._warm_rate += alpha * (self._warm_sends / weight / since_ms - self._warm_rate)
+                self._warm_rate += alpha * (self._warm_sends / weight / elapsed_ms - self._warm_rate)
         self._last_report_ms, self._sends, self._warm_sends = now_ms, 0.0, 0.0
 
     def on_datagram(
@@ -176,15 +176,19 @@
         except (InvalidAdviceError, InvalidLeaseError):
             self.unreadable += 1
             return []
-        known = self._ready_servers.get(lease.server)
+        ready_server = self._ready_servers.get(lease.server)
         if (
-            known is None
-            or known[1] != lease.start_number
+            ready_server is None
+            or ready_server[1] != lease.start_number
             or not lease.start_number
             or not message.is_fresh(MAX_LEASE_AGE_MS)
         ):
             return []
-        return [api.SlowStartLeaseGranted(known[0].name, known[0].started_at, lease.sends, LEASE_TTL_MS)]
+        return [
+            api.SlowStartLeaseGranted(
+                ready_server[0].name, ready_server[0].started_at, lease.sends, LEASE_TTL_MS
+            )
+        ]
 
     def poll_advice(self, now_ms: float) -> list[api.AdviceReceived | api.SlowStartLeaseGranted]:
         """Return the advice to follow from now on, if it has changed.
@@ -199,8 +203,8 @@
         subset_scale = self._advice.subset_scale(
             self._send_rate * MAX_CALL_INTERVAL_MS / MIN_SUBSET_SERVERS, now_ms
         )
-        followed = FollowedAdvice(weight_shares, subset_scale)
-        if followed == self._last_advice:
+        applied = AppliedAdvice(weight_shares, subset_scale)
+        if applied == self._last_advice:
             return []
-        self._last_advice = followed
+        self._last_advice = applied
         return [api.AdviceReceived(weight_shares, subset_scale)]
--- a/cometdoor/planning/health_records.py
+++ b/cometdoor/planning/health_records.py
@@ -14,7 +14,7 @@
     ObserverView,
 )
 from cometdoor.planning.load_reports import (
-    SPEED_STEPS_PER_DOUBLING,
+    LATENCY_STEPS_PER_DOUBLING,
     FailureKind,
     LoadReport,
     ServerReport,
@@ -39,7 +39,7 @@
     answered: float = 0.0  # calls
     failed: float = 0.0  # calls
     log2_latency_sum: float = 0.0  # of answered calls, in doublings
-    late_ms: float = 0.0  # of the most overdue pending call, in the last report
+    overdue_ms: float = 0.0  # of the most overdue pending call, in the last report
     last_timeout_ms: float = -math.inf  # arrival of the last report with time-outs and no answer
 
     def decay(self, now_ms: float) -> None:
@@ -57,8 +57,8 @@
         failed = sum(entry.failures) - entry.failures[FailureKind.REJECTED]
         self.answered += entry.answered
         self.failed += failed
-        self.log2_latency_sum += entry.answered * entry.log2_latency / SPEED_STEPS_PER_DOUBLING
-        self.late_ms = 100.0 * entry.overdue_tenths_s
+        self.log2_latency_sum += entry.answered * entry.log2_latency / LATENCY_STEPS_PER_DOUBLING
+        self.overdue_ms = 100.0 * entry.overdue_tenths_s
         timed_out = entry.failures[FailureKind.TIMED_OUT] + entry.failures[FailureKind.CANCELLED_LATE]
         if not entry.answered and timed_out:
             self.last_timeout_ms = now_ms
@@ -82,9 +82,9 @@
         # or queued. The age of a call that was pending at the last report is not extrapolated, since the call
         # may have been answered by now.
         is_late = (
-            self.late_ms > STALLED_CALL_AGE_MS
+            self.overdue_ms > STALLED_CALL_AGE_MS
             and now_ms - self.at_ms < EVIDENCE_DECAY_MS
-            and answered_ms < self.at_ms - self.late_ms + REPORT_TIME_ERROR_MS
+            and answered_ms < self.at_ms - self.overdue_ms + REPORT_TIME_ERROR_MS
         )
         has_timed_out = max(answered_ms, now_ms - EVIDENCE_DECAY_MS) < self.last_timeout_ms
         answered = self.answered * decay_factor
@@ -109,7 +109,7 @@
     start_number: int  # the start that most observers name
     last_report_ms: float
     known_ms: float  # since when most observers name that start
-    starts_ms: dict[int, float] = field(default_factory=dict)  # by start that is named: since when
+    named_since_ms: dict[int, float] = field(default_factory=dict)  # by start that is named: since when
     observers: dict[int, ObserverRecord] = field(default_factory=dict)  # by number of the forwarder
     answered_ms: float = -math.inf  # its last reported answer
     answers_ms: deque[float] = field(default_factory=lambda: deque(maxlen=MISSED_ANSWERS))  # as last reported
@@ -154,10 +154,10 @@
             for observer in self.observers.values()
             if now_ms - observer.at_ms < EVIDENCE_DECAY_MS
         )
-        self.starts_ms = {start: self.starts_ms.get(start, now_ms) for start in reports_by_start}
+        self.named_since_ms = {start: self.named_since_ms.get(start, now_ms) for start in reports_by_start}
         start_number = max(
             reports_by_start,
-            key=lambda start: (reports_by_start[start], self.starts_ms[start]),
+            key=lambda start: (reports_by_start[start], self.named_since_ms[start]),
             default=self.start_number,
         )
         if start_number != self.start_number:
@@ -167,13 +167,13 @@
             self.last_verdict = None
             self.answers_ms.clear()
 
-    def steady_ms(self) -> float:
+    def answering_since_ms(self) -> float:
         """Return since when it has had MISSED_ANSWERS reports of answers."""
         return min(self.answers_ms) if len(self.answers_ms) == MISSED_ANSWERS else -math.inf
 
-    def is_overdue(self, steady_ms: float) -> bool:
-        """Tell whether it has answered nothing since `steady_ms`, and was known then."""
-        return max(self.answered_ms, self.known_ms) < steady_ms
+    def is_overdue(self, answering_since_ms: float) -> bool:
+        """Tell whether it has answered nothing since `answering_since_ms`, and was known then."""
+        return max(self.answered_ms, self.known_ms) < answering_since_ms
 
     def views(self, now_ms: float) -> Iterator[ObserverView]:
         """Yield the evidence of the observers of its present start."""
@@ -201,11 +201,11 @@
 
     def add(self, report: LoadReport, now_ms: float) -> None:
         """Add a report that is not the first one."""
-        since_ms = now_ms - self.last_report_ms
-        if since_ms > 0.0:
-            self.sends_per_s = 1000.0 * report.sends / since_ms
-            self.known_ms += since_ms
+        elapsed_ms = now_ms - self.last_report_ms
+        if elapsed_ms > 0.0:
+            self.sends_per_s = 1000.0 * report.sends / elapsed_ms
+            self.known_ms += elapsed_ms
             self.counted_sends += report.sends
-            self.traffic_per_s += min(since_ms / min(self.known_ms, TRAFFIC_WINDOW_MS), 1.0) * (
+            self.traffic_per_s += min(elapsed_ms / min(self.known_ms, TRAFFIC_WINDOW_MS), 1.0) * (
                 self.sends_per_s - self.traffic_per_s
             )
--- a/cometdoor/planning/health_scoring.py
+++ b/cometdoor/planning/health_scoring.py
@@ -89,11 +89,13 @@
         """Drop records without a report for RECORD_TTL_MS."""
         before_ms = now_ms - RECORD_TTL_MS
         for number in [
-            number for number, known in self._forwarders.items() if known.last_report_ms < before_ms
+            number for number, record in self._forwarders.items() if record.last_report_ms < before_ms
         ]:
             del self._forwarders[number]
-        for name in [name for name, server in self._servers.items() if server.last_report_ms < before_ms]:
-            del self._servers[name]
+        for server_id in [
+            server_id for server_id, server in self._servers.items() if server.last_report_ms < before_ms
+        ]:
+            del self._servers[server_id]
         for server in self._servers.values():
             server.forget_observers(before_ms)
 
@@ -105,8 +107,8 @@
 
     def forwarders(self) -> Iterator[ForwarderActivity]:
         """Yield the forwarders that report."""
-        for number, known in self._forwarders.items():
-            yield ForwarderActivity(number, known.last_report_ms, known.sends_per_s, known.servers)
+        for number, record in self._forwarders.items():
+            yield ForwarderActivity(number, record.last_report_ms, record.sends_per_s, record.servers)
 
     def servers(self) -> Collection[bytes]:
         """Return the ids of the servers that are reported."""
@@ -114,15 +116,15 @@
 
     def current_start(self, server: bytes) -> ServerStart:
         """Return the start that most forwarders name; raise KeyError for a server that none reported."""
-        known = self._servers[server]
-        return ServerStart(known.start_number, known.known_ms)
+        record = self._servers[server]
+        return ServerStart(record.start_number, record.known_ms)
 
     def warm_rate(self) -> float:
         """Return the attempts per ms that a warm server of weight 1 gets from all forwarders that report.
 
         A forwarder that reports nonsense moves it by twice the median forwarder's rate at most.
         """
-        rates = [known.warm_rate for known in self._forwarders.values()]
+        rates = [record.warm_rate for record in self._forwarders.values()]
         if not rates:
             return 0.0
         limit = 2.0 * median(rates)
@@ -130,7 +132,7 @@
 
     def update_traffic_baseline(self) -> None:
         """Compute the mean forwarder's traffic; the largest counts for no more than all others together."""
-        rates = [known.traffic_per_s for known in self._forwarders.values()]
+        rates = [record.traffic_per_s for record in self._forwarders.values()]
         largest = max(rates, default=0.0)
         total = sum(rates)
         self._mean_traffic_per_s = min(total, 2.0 * (total - largest)) / len(rates) if rates else 0.0
@@ -140,32 +142,34 @@
 
         With it each server of its subset gets no more calls from it than from the others. None: unknown.
         """
-        known = self._forwarders.get(number)
-        if known is None or known.counted_sends < MIN_COUNTED_SENDS or not self._mean_traffic_per_s:
+        record = self._forwarders.get(number)
+        if record is None or record.counted_sends < MIN_COUNTED_SENDS or not self._mean_traffic_per_s:
             return None
-        return max(known.traffic_per_s / self._mean_traffic_per_s, 1.0)
+        return max(record.traffic_per_s / self._mean_traffic_per_s, 1.0)
 
     # --- verdicts ---
 
     def assess(self, now_ms: float) -> dict[bytes, HealthVerdict]:
         """Return the verdicts on servers that are not healthy, by server."""
-        evidence = {name: list(server.views(now_ms)) for name, server in self._servers.items()}
+        evidence = {server_id: list(server.views(now_ms)) for server_id, server in self._servers.items()}
         bad_path_forwarders = find_bad_paths(evidence)
         baseline = self._baseline(evidence)
         verdicts = {}
-        for name, views in evidence.items():
+        for server_id, views in evidence.items():
             voters = [view for view in views if view.number not in bad_path_forwarders]
-            verdict = assess_server(voters, baseline, self._servers[name].is_overdue(baseline.steady_ms))
+            verdict = assess_server(
+                voters, baseline, self._servers[server_id].is_overdue(baseline.answering_since_ms)
+            )
             if verdict.state is not HealthState.HEALTHY:
-                verdicts[name] = verdict
+                verdicts[server_id] = verdict
         unresponsive = [
-            name for name, verdict in verdicts.items() if verdict.state is HealthState.UNRESPONSIVE
+            server_id for server_id, verdict in verdicts.items() if verdict.state is HealthState.UNRESPONSIVE
         ]
         if 2 * len(unresponsive) > sum(bool(views) for views in evidence.values()):
             # A dependency that they share is unresponsive, or the network to them.
-            for name in unresponsive:
-                del verdicts[name]
-        self._keep_verdicts(verdicts, unresponsive, now_ms)
+            for server_id in unresponsive:
+                del verdicts[server_id]
+        self._retain_verdicts(verdicts, unresponsive, now_ms)
         return verdicts
 
     def _baseline(self, evidence: Evidence) -> FleetBaseline:
@@ -179,26 +183,28 @@
             for views in evidence.values()
             if (success := median_of_known([view.success_share for view in views])) is not None
         ]
-        steady_ms = [self._servers[name].steady_ms() for name, views in evidence.items() if views]
+        answering_since_ms = [
+            self._servers[server_id].answering_since_ms() for server_id, views in evidence.items() if views
+        ]
         return FleetBaseline(
             log2_latency=median(log2_latencies) if log2_latencies else 0.0,
             success_share=median(success_shares) if success_shares else 1.0,
-            steady_ms=median(steady_ms or [-math.inf]),
+            answering_since_ms=median(answering_since_ms or [-math.inf]),
             quorum=min(MIN_AGREEING_OBSERVERS, len(self._forwarders)),
         )
 
-    def _keep_verdicts(
+    def _retain_verdicts(
         self, verdicts: dict[bytes, HealthVerdict], unresponsive: list[bytes], now_ms: float
     ) -> None:
         """Store the verdicts, and add former ones that are still valid."""
-        for name, server in self._servers.items():
-            if name in verdicts:
-                server.last_verdict, server.last_verdict_ms = verdicts[name], now_ms
+        for server_id, server in self._servers.items():
+            if server_id in verdicts:
+                server.last_verdict, server.last_verdict_ms = verdicts[server_id], now_ms
             elif server.last_verdict is not None:
                 if (
                     server.answered_ms > server.last_verdict_ms
                     or now_ms - server.last_verdict_ms > VERDICT_TTL_MS
                 ):
                     server.last_verdict = None
-                elif name not in unresponsive:
-                    verdicts[name] = server.last_verdict
+                elif server_id not in unresponsive:
+                    verdicts[server_id] = server.last_verdict
--- a/cometdoor/planning/health_verdicts.py
+++ b/cometdoor/planning/health_verdicts.py
@@ -78,7 +78,7 @@
 
     log2_latency: float
     success_share: float
-    steady_ms: float  # since when it has had MISSED_ANSWERS reports of answers
+    answering_since_ms: float  # since when it has had MISSED_ANSWERS reports of answers
     quorum: int  # observers that must agree
 
 
@@ -90,18 +90,18 @@
 
 def find_bad_paths(evidence: Mapping[bytes, Sequence[ObserverView]]) -> set[int]:
     """Return forwarders that see at least half of their servers fail or stall, while others do not."""
-    seen: dict[int, list[bool]] = {}
+    failures_by_forwarder: dict[int, list[bool]] = {}
     for views in evidence.values():
         for view in views:
             if view.success_share is not None or view.is_stalled:
                 is_failing = (
                     view.success_share is not None and view.success_share < 1.0 - FAILING_THRESHOLD_SHARE
                 )
-                seen.setdefault(view.number, []).append(view.is_stalled or is_failing)
+                failures_by_forwarder.setdefault(view.number, []).append(view.is_stalled or is_failing)
     shares = {
-        number: sum(failures_seen) / len(failures_seen)
-        for number, failures_seen in seen.items()
-        if len(failures_seen) >= MIN_AGREEING_OBSERVERS
+        number: sum(failures) / len(failures)
+        for number, failures in failures_by_forwarder.items()
+        if len(failures) >= MIN_AGREEING_OBSERVERS
     }
     baseline = median(shares.values()) if shares else 0.0
     return {number for number, share in shares.items() if share >= 0.5 and share > baseline + 0.25}
@@ -136,7 +136,7 @@
     ):
         weight_share = max(median(failing) ** 4, MIN_WEIGHT_SHARE)
         return HealthVerdict(HealthState.FAILING, weight_share, len(failing), len(views))
-    timed = [view for view in views if view.log2_latency is not None]
+    views_with_latency = [view for view in views if view.log2_latency is not None]
     slow = [
         view.log2_latency - baseline.log2_latency
         for view in views
@@ -145,8 +145,8 @@
     ]
     if (
         len(slow) >= baseline.quorum
-        and 2 * len(slow) > len(timed)
-        and _is_significantly_slow(median(slow), sum(view.answered for view in timed))
+        and 2 * len(slow) > len(views_with_latency)
+        and _is_significantly_slow(median(slow), sum(view.answered for view in views_with_latency))
     ):
         weight_share = max(0.5 ** median(slow), MIN_WEIGHT_SHARE)
         return HealthVerdict(HealthState.SLOW, weight_share, len(slow), len(views))
--- a/cometdoor/planning/load_reports.py
+++ b/cometdoor/planning/load_reports.py
@@ -24,7 +24,7 @@
 REPORT_INTERVAL_MS = 500.0  # within two of these some forwarder has calls pending at an unresponsive server
 REPORT_JITTER_SHARE = 0.2  # of the interval, to either side: planners get an even stream
 SERVER_ID_BYTES = 6  # of a hash: 10,000 servers have a collision in one of five million fleets
-SPEED_STEPS_PER_DOUBLING = 8  # resolution of latencies in reports
+LATENCY_STEPS_PER_DOUBLING = 8  # resolution of latencies in reports
 # A call that is cancelled counts against its server if it took this many doublings of the usual latency. As a
 # rule its hedge was answered first, so that calls to an unresponsive server rarely time out: over sockets,
 # with 90 requests a second at each of five proxies, no planner found it while these calls were not reported.
@@ -35,7 +35,7 @@
 BASELINE_CALLS = 50.0  # over which the usual latency is averaged
 MAX_SENDS_PER_REPORT = 1_000_000  # a hundred times what one core forwards in an interval
 MAX_COUNT = 127  # the most that one byte of msgpack holds; larger counts are capped
-SURPRISE_SHARE = 0.5  # of a report's space
+DEVIATING_SHARE = 0.5  # of a report's space
 
 
 class FailureKind(IntEnum):
@@ -70,7 +70,7 @@
     start_number: int  # of the start that the endpoint list names, in 16 bits; 0: long ago
     answered: int
     failures: tuple[int, int, int, int, int]  # by kind
-    # mean of log2(latency / latency target) of answered calls, in steps of 1/SPEED_STEPS_PER_DOUBLING
+    # mean of log2(latency / latency target) of answered calls, in steps of 1/LATENCY_STEPS_PER_DOUBLING
     log2_latency: int
     since_answer_tenths_s: int  # since its last answer; MAX_COUNT: none, or longer ago
     overdue_tenths_s: int  # by which the latest pending call exceeds 2**LATE_CALL_DOUBLINGS of the usual
@@ -168,11 +168,11 @@
 
     def update_servers(self, servers: Iterable[tuple[str, int]]) -> None:
         """Replace the servers that may be sent to, given with the numbers of their starts."""
-        named = dict(servers)
-        for name in self._observations.keys() - named.keys():
+        start_numbers = dict(servers)
+        for name in self._observations.keys() - start_numbers.keys():
             del self._observations[name]
             self._pending.pop(name, None)
-        for name, start_number in named.items():
+        for name, start_number in start_numbers.items():
             observed = self._observations.get(name)
             if observed is None or observed.start_number != start_number:
                 # Observations of the former process say nothing about the new one.
@@ -229,31 +229,34 @@
         """
         self._sequence_number += 1
         sends, self._sends = self._sends, 0
-        mean = self._mean_log2_latency()
+        mean_log2_latency = self._mean_log2_latency()
         longest_unreported_first = sorted(
             self._observations.values(), key=lambda observed: observed.reported_at
         )
-        surprise = {
-            observed.name: self._surprise(observed, mean, now_ms) for observed in longest_unreported_first
+        deviations = {
+            observed.name: self._deviation(observed, mean_log2_latency, now_ms)
+            for observed in longest_unreported_first
         }
-        surprising = sorted(
-            (observed for observed in longest_unreported_first if surprise[observed.name] > 0.0),
-            key=lambda observed: -surprise[observed.name],
+        deviating = sorted(
+            (observed for observed in longest_unreported_first if deviations[observed.name] > 0.0),
+            key=lambda observed: -deviations[observed.name],
         )
         chosen: dict[str, _ServerObservations] = {}
         report = LoadReport(self._sequence_number, sends, round(warm_rate * 1e6), len(self._observations), [])
         remaining_bytes = (
             MAX_BODY_BYTES - len(_ENCODER.encode(report)) - 2
         )  # a list of over 15 has a longer header
-        first = int(remaining_bytes * SURPRISE_SHARE)
-        remaining_bytes += self._choose(surprising, chosen, report, first, now_ms) - first
-        self._choose(longest_unreported_first, chosen, report, remaining_bytes, now_ms)
+        deviating_bytes = int(remaining_bytes * DEVIATING_SHARE)
+        remaining_bytes += (
+            self._add_entries(deviating, chosen, report, deviating_bytes, now_ms) - deviating_bytes
+        )
+        self._add_entries(longest_unreported_first, chosen, report, remaining_bytes, now_ms)
         for observed in chosen.values():
             observed.answered, observed.log2_latency_sum, observed.failures = 0, 0.0, [0] * len(FailureKind)
             observed.reported_at, observed.reported_start = now_ms, observed.start_number
         return _ENCODER.encode(report)
 
-    def _choose(
+    def _add_entries(
         self,
         order: Iterable[_ServerObservations],
         chosen: dict[str, _ServerObservations],
@@ -279,7 +282,7 @@
             min(count, MAX_COUNT) for count in observed.failures
         )
         log2_latency = (
-            round(SPEED_STEPS_PER_DOUBLING * observed.log2_latency_sum / observed.answered)
+            round(LATENCY_STEPS_PER_DOUBLING * observed.log2_latency_sum / observed.answered)
             if observed.answered
             else 0
         )
@@ -290,10 +293,10 @@
             (connect_failed, connection_lost, timed_out, rejected, cancelled_late),
             max(-MAX_COUNT, min(log2_latency, MAX_COUNT)),
             int(min((now_ms - observed.answered_at) / 100.0, MAX_COUNT)),
-            min(int(max(self._late_ms(observed.name, now_ms), 0.0) / 100.0), MAX_COUNT),
+            min(int(max(self._overdue_ms(observed.name, now_ms), 0.0) / 100.0), MAX_COUNT),
         )
 
-    def _late_ms(self, server: str, now_ms: float) -> float:
+    def _overdue_ms(self, server: str, now_ms: float) -> float:
         """Return by how much the latest pending call exceeds the longest usual latency.
 
         Until a call was answered, the latency target is used as the usual latency.
@@ -301,10 +304,10 @@
         pending = self._pending.get(server)
         if not pending:
             return 0.0
-        allowed: float = 2.0 ** ((self._baseline_log2_latency or 0.0) + LATE_CALL_DOUBLINGS)
+        max_latency_ratio: float = 2.0 ** ((self._baseline_log2_latency or 0.0) + LATE_CALL_DOUBLINGS)
         return max(
             [
-                now_ms - pending_attempt.sent_at - allowed * pending_attempt.latency_target_ms
+                now_ms - pending_attempt.sent_at - max_latency_ratio * pending_attempt.latency_target_ms
                 for pending_attempt in pending.values()
             ]
         )
@@ -317,18 +320,19 @@
             else 0.0
         )
 
-    def _surprise(self, observed: _ServerObservations, mean: float, now_ms: float) -> float:
+    def _deviation(self, observed: _ServerObservations, mean_log2_latency: float, now_ms: float) -> float:
         """Return how much a server deviates from what was expected; 0: not at all."""
-        late_s = self._late_ms(observed.name, now_ms) / 1000.0
-        slow = (
-            abs(observed.log2_latency_sum - mean * observed.answered) / math.sqrt(observed.answered)
+        overdue_s = self._overdue_ms(observed.name, now_ms) / 1000.0
+        latency_deviation = (
+            abs(observed.log2_latency_sum - mean_log2_latency * observed.answered)
+            / math.sqrt(observed.answered)
             if observed.answered
             else 0.0
         )
         return (
             2.0 * sum(observed.failures)
-            + max(late_s, 0.0)
-            + (slow if slow > 1.0 else 0.0)
+            + max(overdue_s, 0.0)
+            + (latency_deviation if latency_deviation > 1.0 else 0.0)
             + 4.0 * (observed.start_number != observed.reported_start)
         )
 
--- a/cometdoor/planning/planner.py
+++ b/cometdoor/planning/planner.py
@@ -68,7 +68,7 @@
         self._channel = channel
         self._warm_up_ms = warm_up_ms
         self._sends: dict[int, ReportedSends] = {}  # by forwarder
-        self._all_sends = 0  # of all forwarders in an interval, as last assessed
+        self._total_sends = 0  # of all forwarders in an interval, as last assessed
         self._warm_rate = 0.0  # attempts per ms to a warm server of weight 1, as last assessed
         self._verdicts: dict[bytes, HealthVerdict] = {}
         self._advice = make_advice({})
@@ -134,7 +134,7 @@
             self._assessed_ms = now_ms
             self._verdicts = self.health_model.assess(now_ms)
             self._warm_rate = self.health_model.warm_rate()
-            self._all_sends = sum(sends for _, sends in self._sends.values())
+            self._total_sends = sum(sends for _, sends in self._sends.values())
             self._advice = make_advice(self._verdicts)
             self.health_model.update_traffic_baseline()
 
@@ -147,7 +147,7 @@
             start_number, since_ms = self.health_model.current_start(entry.server)
             if not start_number or start_number != entry.start_number or now_ms - since_ms > self._warm_up_ms:
                 continue
-            share = report.sends / max(self._all_sends, report.sends, 1)
+            share = report.sends / max(self._total_sends, report.sends, 1)
             requested = math.ceil(lease_issuer.allocation(self._warm_rate) * share)
             lease = lease_issuer.issue(entry.server, start_number, self._warm_rate, requested, now_ms)
             if lease is not None:
--- a/cometdoor/planning/sealed_messages.py
+++ b/cometdoor/planning/sealed_messages.py
@@ -132,26 +132,26 @@
 class _IncarnationState:
     """Message numbers received from one incarnation of a peer, for replay protection."""
 
-    __slots__ = ("highest", "proven_at", "seen")
+    __slots__ = ("highest", "proven_at", "received")
 
     def __init__(self) -> None:
         self.proven_at = -1.0  # when our newest message that it echoed was sent, in ms
         self.highest = 0
-        self.seen = 0  # bit set of numbers: bit 0 is the highest, bit 1 the one below
+        self.received = 0  # bit set of numbers: bit 0 is the highest, bit 1 the one below
 
     def accept(self, number: int) -> bool:
         """Record a number and return whether it is new."""
         ahead = number - self.highest
         if ahead > 0:
-            self.seen = (
-                ((self.seen << ahead) | 1) & ((1 << REPLAY_WINDOW) - 1) if ahead < REPLAY_WINDOW else 1
+            self.received = (
+                ((self.received << ahead) | 1) & ((1 << REPLAY_WINDOW) - 1) if ahead < REPLAY_WINDOW else 1
             )
             self.highest = number
             return True
         bit = 1 << -ahead
-        if -ahead >= REPLAY_WINDOW or self.seen & bit:
+        if -ahead >= REPLAY_WINDOW or self.received & bit:
             return False
-        self.seen |= bit
+        self.received |= bit
         return True
 
 
--- a/cometdoor/planning/serve.py
+++ b/cometdoor/planning/serve.py
@@ -191,7 +191,7 @@
             self._file.planner.number, self._file.planner.planners, [fleet.status() for fleet in self.fleets]
         )
 
-    def read_keys(self) -> None:
+    def reload_keys(self) -> None:
         """Reload the keys; a file with problems changes nothing. Handler of SIGHUP."""
         try:
             file, keys = load_planners(self._path)
@@ -213,19 +213,20 @@
     stopping = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stopping.set)
-    process = PlannerServer(path, file, keys)
-    loop.add_signal_handler(signal.SIGHUP, process.read_keys)
-    await process.start()
-    if process.status_address is not None:
-        log.info("status on %s:%d", *process.status_address)
+    planner_server = PlannerServer(path, file, keys)
+    loop.add_signal_handler(signal.SIGHUP, planner_server.reload_keys)
+    await planner_server.start()
+    if planner_server.status_address is not None:
+        log.info("status on %s:%d", *planner_server.status_address)
     log.info(
         "planner %d of %d hears %s",
         file.planner.number,
         file.planner.planners,
         ", ".join(
-            f"{fleet.entry.service} on {fleet.address[0]}:{fleet.address[1]}" for fleet in process.fleets
+            f"{fleet.entry.service} on {fleet.address[0]}:{fleet.address[1]}"
+            for fleet in planner_server.fleets
         ),
     )
     await stopping.wait()
-    process.stop()
+    planner_server.stop()
     log.info("ends")
--- a/cometdoor/planning/status.py
+++ b/cometdoor/planning/status.py
@@ -94,10 +94,10 @@
     names
         Names of servers, to show in place of their ids.
     """
-    known = {server_id(name).hex(): name for name in names}
+    names_by_id = {server_id(name).hex(): name for name in names}
     lines = [f"planner {status.number} of {status.planners}"]
     for fleet in status.fleets:
-        lines += ["", *_render_fleet(fleet, known)]
+        lines += ["", *_render_fleet(fleet, names_by_id)]
     return "\n".join(lines)
 
 
--- a/cometdoor/planning/transport.py
+++ b/cometdoor/planning/transport.py
@@ -167,14 +167,14 @@
         random: Random,
         deliver: Callable[[api.AdviceReceived | api.SlowStartLeaseGranted], None],
     ) -> None:
-        kind = DatagramConnection if transport == "udp" else StreamConnection
+        connection_class = DatagramConnection if transport == "udp" else StreamConnection
         self.forwarder = forwarder
         self.has_failed = False
         self._loop = loop
         self._random = random
         self._deliver = deliver
         self._connections: list[PlannerConnection] = [
-            kind(loop, planner, self._on_datagram) for planner in planners
+            connection_class(loop, planner, self._on_datagram) for planner in planners
         ]
         self._timer: asyncio.TimerHandle | None = None
 
--- a/simulation/planning.py
+++ b/simulation/planning.py
@@ -64,7 +64,7 @@
     servers: int = 8
     rate: float = 6.0  # requests a second of the mean forwarder
     skew: float = 0.7  # of traffic over forwarders: the n-th has 1 / n ** skew of the first one's
-    busy: float = 0.5  # load, as a share of the capacity of warm servers
+    utilization: float = 0.5  # load, as a share of the capacity of warm servers
     seconds: float = 14.0
 
 
@@ -85,7 +85,7 @@
         self.case_spec = CASES[self.case]
         self.ends_ms = self.clock.now_ms() + 1000.0 * size.seconds
         per_server = size.forwarders * size.rate / size.servers
-        self.work_s = SLOTS * size.busy / per_server  # the mean of one request
+        self.work_s = SLOTS * size.utilization / per_server  # the mean of one request
         self.slow_start = SlowStart(
             start=0.3,
             warm_up_s=random.uniform(4.0, 8.0),
@@ -94,9 +94,9 @@
             window_s=random.uniform(1.0, 2.5),
         )
         self.leases = 0
-        self.alarms: set[str] = set()  # servers that were advised against without ever having a fault
+        self.false_alarms: set[str] = set()  # servers that were advised against without ever having a fault
         self.faulted: set[str] = set()  # servers that ever had a fault
-        self.sent: Counter[tuple[int, str]] = Counter()  # by SEND_COUNT_BIN_MS and server
+        self.send_counts: Counter[tuple[int, str]] = Counter()  # by SEND_COUNT_BIN_MS and server
         self.clients = SimulatedClients(self.clock, self.client_log)
         self._max_list_delay_ms = random.choice([20.0, 500.0, 2000.0])
         self.planner_group = PlannerGroup(self)
@@ -145,13 +145,13 @@
         )
         ranks = random.sample(range(size.forwarders), size.forwarders)
         traffic_weights = [1.0 / (rank + 1) ** size.skew for rank in ranks]
-        stated_forwarders = max(round(size.forwarders * self.case_spec.stated_size_ratio), 1)
+        configured_forwarders = max(round(size.forwarders * self.case_spec.configured_size_ratio), 1)
         self.forwarders: list[SimulatedForwarder] = []
         for number, traffic_weight in enumerate(traffic_weights):
             settings = api.Settings(
                 classes=classes,
-                balancers=stated_forwarders,
-                position=number % stated_forwarders,
+                balancers=configured_forwarders,
+                position=number % configured_forwarders,
                 max_attempts=3,
                 tier=1,
                 tiers=2,
@@ -170,9 +170,9 @@
 
     # --- advice ---
 
-    def on_advised(self, advised: api.AdviceReceived) -> None:
+    def record_advice(self, advice: api.AdviceReceived) -> None:
         """Count advice against servers that never had a fault."""
-        self.alarms |= {name for name in advised.weight_shares if name not in self.faulted}
+        self.false_alarms |= {name for name in advice.weight_shares if name not in self.faulted}
 
     # --- requests ---
 
@@ -189,7 +189,7 @@
 
     def count_send(self, server: str) -> None:
         """Count an attempt to a server, for `share_of`."""
-        self.sent[int(self.clock.now_ms() // SEND_COUNT_BIN_MS), server] += 1
+        self.send_counts[int(self.clock.now_ms() // SEND_COUNT_BIN_MS), server] += 1
 
     # --- faults of servers ---
 
@@ -237,7 +237,7 @@
         self.add_server(name + "'", self.clock.now_ms())
         self.publish_change(self.servers[name + "'"])
 
-    def slow_all(self, slowdown_factor: float) -> None:
+    def slow_down_all(self, slowdown_factor: float) -> None:
         for server in self.models.values():
             server.model.behaviour.slowdown_factor = slowdown_factor
 
@@ -267,8 +267,8 @@
     def share_of(self, name: str, from_ms: float, to_ms: float) -> float:
         """Return the share of all sends between two times that went to a server."""
         bins = range(int(from_ms // SEND_COUNT_BIN_MS), int(to_ms // SEND_COUNT_BIN_MS))
-        total = sum(count for (at, _), count in self.sent.items() if at in bins)
-        return sum(self.sent[at, name] for at in bins) / total if total else 0.0
+        total = sum(count for (at, _), count in self.send_counts.items() if at in bins)
+        return sum(self.send_counts[at, name] for at in bins) / total if total else 0.0
 
     def served_share(self) -> float:
         return sum(attempt.was_served for attempt in self.client_log.attempts) / max(
@@ -288,7 +288,7 @@
             servers=random.choice([6, 9, 14]),
             rate=random.choice([3.0, 6.0]),
             skew=random.choice([0.0, 0.7, 1.2]),
-            busy=random.uniform(0.3, 0.75),
+            utilization=random.uniform(0.3, 0.75),
             seconds=12.0,
         ),
         case or names[seed % len(names)],
@@ -303,7 +303,7 @@
     case: str
     broken: tuple[str, ...]
     slow_start_peak: float
-    alarms: int
+    false_alarms: int
     leases: int
     requests: int
     served: float
@@ -320,7 +320,7 @@
         fleet.case,
         broken,
         fleet.slow_start_peak(),
-        len(fleet.alarms),
+        len(fleet.false_alarms),
         fleet.leases,
         len(fleet.client_log.attempts),
         fleet.served_share(),
--- a/simulation/planning_cases.py
+++ b/simulation/planning_cases.py
@@ -26,16 +26,16 @@
     planners_live: bool = True
     contrary_planners: frozenset[int] = frozenset()  # planners that advise the opposite of what they find
     message_loss_share: float | None = None
-    late_ms: float | None = None
-    stated_size_ratio: float = 1.0  # the fleet's size in the settings, over its real size
+    mean_message_delay_ms: float | None = None
+    configured_size_ratio: float = 1.0  # the fleet's size in the settings, over its real size
 
 
 def usual(fleet: SimulatedFleet) -> None:
     """Freeze one server, restart one, drain one and replace one, beside the case's own faults."""
     frozen, *others = fleet.random.sample([*fleet.servers], 4)
     fleet.at(0.3, lambda: fleet.freeze(frozen))
-    for name, do in zip(others, (fleet.restart, fleet.drain, fleet.replace), strict=True):
-        fleet.at(fleet.random.uniform(0.2, 0.8), partial(do, name))
+    for name, inject_fault in zip(others, (fleet.restart, fleet.drain, fleet.replace), strict=True):
+        fleet.at(fleet.random.uniform(0.2, 0.8), partial(inject_fault, name))
 
 
 def _stop_planners_in_turn(fleet: SimulatedFleet) -> None:
@@ -79,10 +79,10 @@
 
 def _drain_best_rated(fleet: SimulatedFleet) -> None:
     """Drain the server that planners rate best, since a third of the others are frozen."""
-    praised, *others = fleet.random.sample([*fleet.servers], max(fleet.size.servers // 3, 2))
+    best_rated, *others = fleet.random.sample([*fleet.servers], max(fleet.size.servers // 3, 2))
     for name in others:
         fleet.at(0.2, partial(fleet.freeze, name, 3000.0))
-    fleet.at(0.35, lambda: fleet.drain(praised))
+    fleet.at(0.35, lambda: fleet.drain(best_rated))
 
 
 def _restart_all_servers(fleet: SimulatedFleet) -> None:
@@ -124,8 +124,8 @@
 
 
 def _slow_all(fleet: SimulatedFleet) -> None:
-    fleet.at(0.3, lambda: fleet.slow_all(fleet.random.uniform(1.5, 2.9)))
-    fleet.at(0.8, lambda: fleet.slow_all(1.0))
+    fleet.at(0.3, lambda: fleet.slow_down_all(fleet.random.uniform(1.5, 2.9)))
+    fleet.at(0.8, lambda: fleet.slow_down_all(1.0))
 
 
 def _shuffle_traffic(fleet: SimulatedFleet) -> None:
@@ -151,10 +151,10 @@
     "all planners but one contrary": Case(usual, contrary_planners=frozenset({0, 1})),
     "planners stand still and speak late": Case(_pause_planners),
     "every note lost": Case(usual, message_loss_share=1.0),
-    "notes ten seconds late": Case(usual, late_ms=10_000.0),
+    "notes ten seconds late": Case(usual, mean_message_delay_ms=10_000.0),
     "a forwarder reports nonsense": Case(_send_garbage_reports),
-    "fleet size told double": Case(usual, stated_size_ratio=2.0),
-    "fleet size told by half": Case(usual, stated_size_ratio=0.5),
+    "fleet size told double": Case(usual, configured_size_ratio=2.0),
+    "fleet size told by half": Case(usual, configured_size_ratio=0.5),
     "three starts in one warm-up": Case(_restart_three_times),
     "drains while praised": Case(_drain_best_rated),
     "all servers cold at once": Case(_restart_all_servers),
--- a/simulation/planning_network.py
+++ b/simulation/planning_network.py
@@ -27,7 +27,7 @@
             if case.message_loss_share is not None
             else random.choice([0.0, 0.05, 0.3])
         )
-        self._mean_message_delay_ms = case.late_ms or random.choice([2.0, 20.0, 100.0])
+        self._mean_message_delay_ms = case.mean_message_delay_ms or random.choice([2.0, 20.0, 100.0])
         self._duplicate_share = random.choice([0.0, 0.3])
         self.partitioned: set[tuple[int, int]] = set()  # forwarder and planner that cannot reach each other
         self.running: dict[int, Planner] = {}
@@ -52,8 +52,8 @@
             self._fleet.size.forwarders,
             frozenset({MessageKind.REPORT}),
         )
-        kind = ContraryPlanner if number in self._fleet.case_spec.contrary_planners else Planner
-        self.running[number] = kind(
+        planner_class = ContraryPlanner if number in self._fleet.case_spec.contrary_planners else Planner
+        self.running[number] = planner_class(
             channel,
             SlowStartRules(
                 self._fleet.slow_start.start,
@@ -71,11 +71,11 @@
 
     def pause(self, number: int, for_ms: float) -> None:
         """Pause a planner; what arrives meanwhile is delivered afterwards, all at once."""
-        waiting = self._paused.setdefault(number, [])
+        delayed_calls = self._paused.setdefault(number, [])
 
         def resume() -> None:
             del self._paused[number]
-            for call in waiting:
+            for call in delayed_calls:
                 call()
 
         self._fleet.clock.after(for_ms, resume)
@@ -95,5 +95,5 @@
         if number in self._paused:
             self._paused[number].append(partial(self.deliver, number, datagram))
         elif number in self.running:
-            for forwarder, answer in self.running[number].on_datagram(datagram, self._fleet.clock.now_ms()):
-                self.transmit(forwarder, number, partial(self._fleet.forwarders[forwarder].receive, answer))
+            for forwarder, reply in self.running[number].on_datagram(datagram, self._fleet.clock.now_ms()):
+                self.transmit(forwarder, number, partial(self._fleet.forwarders[forwarder].receive, reply))
--- a/simulation/planning_parties.py
+++ b/simulation/planning_parties.py
@@ -41,15 +41,15 @@
 class SkewedClock:
     """A `cometdoor.host.clock.Clock` with an offset: readings of two parties can't be compared."""
 
-    def __init__(self, clock: VirtualClock, ahead_ms: float) -> None:
+    def __init__(self, clock: VirtualClock, offset_ms: float) -> None:
         self._clock = clock
-        self.ahead_ms = ahead_ms
+        self.offset_ms = offset_ms
 
     def now_ms(self) -> float:
-        return self._clock.now_ms() + self.ahead_ms
+        return self._clock.now_ms() + self.offset_ms
 
     def call_at(self, due_ms: float, call: Callable[[], None]) -> VirtualTimer:
-        return self._clock.call_at(due_ms - self.ahead_ms, call)
+        return self._clock.call_at(due_ms - self.offset_ms, call)
 
 
 class SimulatedForwarder(CheckedSender):
@@ -67,7 +67,7 @@
             fleet.planner_group.forwarder_channel(number),
             fleet.size.planners,
             settings.warm_up_ms,
-            EPOCH_MS - self.clock.ahead_ms,
+            EPOCH_MS - self.clock.offset_ms,
         )
         self.host: BalancerHost[SimulatedRequest, Reply] = BalancerHost(
             HostSettings(settings, fleet.random.getrandbits(40)), self.clock, self
@@ -79,7 +79,7 @@
 
     def update_list(self, event: EndpointsChanged) -> None:
         """Apply a change of the list, with starting times by the forwarder's own clock."""
-        ahead = self.clock.ahead_ms
+        offset_ms = self.clock.offset_ms
         servers = tuple(
             Endpoint(
                 server.name,
@@ -88,7 +88,7 @@
                 server.cell,
                 server.kind,
                 server.state,
-                server.started_at + ahead if server.started_at else 0.0,
+                server.started_at + offset_ms if server.started_at else 0.0,
             )
             for server in event.endpoints
         )
@@ -151,7 +151,7 @@
         """Hand planners' advice and leases to the host."""
         for event in events:
             if isinstance(event, api.AdviceReceived):
-                self.fleet.on_advised(event)
+                self.fleet.record_advice(event)
             else:
                 self.fleet.leases += event.sends
             self.host.submit_event(event)
@@ -161,12 +161,12 @@
     """A faulty planner: rates unhealthy servers well, and two fifths of the others as unresponsive."""
 
     def _assess(self, now_ms: float) -> None:
-        before = self._assessed_ms
+        previous = self._assessed_ms
         super()._assess(now_ms)
-        if self._assessed_ms != before:
-            well = sorted(self.health_model.servers() - self._verdicts.keys())
+        if self._assessed_ms != previous:
+            healthy = sorted(self.health_model.servers() - self._verdicts.keys())
             self._verdicts = dict.fromkeys(
-                well[: len(well) * 2 // 5], HealthVerdict(HealthState.UNRESPONSIVE, 0.02, 9, 9)
+                healthy[: len(healthy) * 2 // 5], HealthVerdict(HealthState.UNRESPONSIVE, 0.02, 9, 9)
             )
             self._advice = make_advice(self._verdicts)
 
--- a/tests/planning/test_advice.py
+++ b/tests/planning/test_advice.py
@@ -29,13 +29,13 @@
 SERVERS = [server_id(f"s{number}") for number in range(10)]
 
 
-def against(*places: int, weight_share: int = 2, is_complete: bool = True) -> Advice:
-    return Advice(is_complete, [ServerAdvice(SERVERS[place], weight_share) for place in places])
+def advice_against(*indexes: int, weight_share: int = 2, is_complete: bool = True) -> Advice:
+    return Advice(is_complete, [ServerAdvice(SERVERS[index], weight_share) for index in indexes])
 
 
 def test_a_single_planner_is_trusted_fully_then_less_and_then_not_at_all() -> None:
     combiner = AdviceCombiner()
-    assert combiner.receive(0, against(3), 100.0, 1000.0)
+    assert combiner.receive(0, advice_against(3), 100.0, 1000.0)
     assert combiner.compute_weight_shares(SERVERS, 1000.0) == {SERVERS[3]: 0.02}
     assert combiner.compute_weight_shares(SERVERS, 900.0 + FULL_TRUST_MS) == {SERVERS[3]: 0.02}
     (later,) = combiner.compute_weight_shares(SERVERS, 900.0 + (FULL_TRUST_MS + ADVICE_TTL_MS) / 2).values()
@@ -49,38 +49,38 @@
 @pytest.mark.parametrize("age", [None, ADVICE_TTL_MS + 1.0])
 def test_advice_that_is_old_or_of_unproven_age_is_not_accepted(age: float | None) -> None:
     combiner = AdviceCombiner()
-    assert not combiner.receive(0, against(3), age, 9000.0)
+    assert not combiner.receive(0, advice_against(3), age, 9000.0)
     assert combiner.compute_weight_shares(SERVERS, 9000.0) == {}
 
 
 def test_old_advice_that_changes_no_weight_has_no_effect() -> None:
     combiner = AdviceCombiner()
-    combiner.receive(0, against(3, weight_share=100), FULL_TRUST_MS + 1.0, 0.0)
+    combiner.receive(0, advice_against(3, weight_share=100), FULL_TRUST_MS + 1.0, 0.0)
     assert combiner.compute_weight_shares(SERVERS, 0.0) == {}
 
 
 def test_late_advice_does_not_replace_newer_advice() -> None:
     combiner = AdviceCombiner()
-    assert combiner.receive(0, against(), 10.0, 1000.0)
-    assert not combiner.receive(0, against(3), 300.0, 1100.0)
+    assert combiner.receive(0, advice_against(), 10.0, 1000.0)
+    assert not combiner.receive(0, advice_against(3), 300.0, 1100.0)
     assert combiner.compute_weight_shares(SERVERS, 1100.0) == {}
 
 
 def test_of_contradictory_advice_the_smallest_change_applies() -> None:
     combiner = AdviceCombiner()
-    combiner.receive(0, against(3, 4), 0.0, 0.0)
-    combiner.receive(1, against(3, weight_share=50), 0.0, 0.0)
+    combiner.receive(0, advice_against(3, 4), 0.0, 0.0)
+    combiner.receive(1, advice_against(3, weight_share=50), 0.0, 0.0)
     assert combiner.compute_weight_shares(SERVERS, 0.0) == {SERVERS[3]: 0.5}
     # A planner that named only some has no opinion of the others.
-    combiner.receive(1, against(3, is_complete=False), 0.0, 1.0)
+    combiner.receive(1, advice_against(3, is_complete=False), 0.0, 1.0)
     assert combiner.compute_weight_shares(SERVERS, 1.0) == {SERVERS[3]: 0.02, SERVERS[4]: 0.02}
 
 
 def test_advice_against_more_than_half_of_the_servers_is_not_followed() -> None:
     combiner = AdviceCombiner()
-    combiner.receive(0, against(*range(6)), 0.0, 0.0)
+    combiner.receive(0, advice_against(*range(6)), 0.0, 0.0)
     assert combiner.compute_weight_shares(SERVERS, 0.0) == {}
-    combiner.receive(0, against(*range(5)), 0.0, 1.0)
+    combiner.receive(0, advice_against(*range(5)), 0.0, 1.0)
     assert len(combiner.compute_weight_shares(SERVERS, 1.0)) == 5
 
 
@@ -88,14 +88,14 @@
     combiner = AdviceCombiner()
     weight_shares = []
     for step in range(20):  # a planner that changes its mind with every beat
-        combiner.receive(0, against(3) if step % 2 == 0 else against(), 0.0, 500.0 * step)
+        combiner.receive(0, advice_against(3) if step % 2 == 0 else advice_against(), 0.0, 500.0 * step)
         weight_shares.append(combiner.compute_weight_shares(SERVERS, 500.0 * step).get(SERVERS[3], 1.0))
     assert max(weight_shares) <= 0.02 * 2.0 ** (500.0 / WEIGHT_DOUBLING_MS) + 1e-9
 
 
 def test_weight_shares_name_only_servers_of_the_forwarders_own_list() -> None:
     combiner = AdviceCombiner()
-    combiner.receive(0, against(3), 0.0, 0.0)
+    combiner.receive(0, advice_against(3), 0.0, 0.0)
     assert combiner.compute_weight_shares(SERVERS[:3], 0.0) == {}
 
 
@@ -120,7 +120,7 @@
         now += wait
         advice = Advice(
             is_complete,
-            [ServerAdvice(SERVERS[place], weight_share) for place, weight_share in server_advices],
+            [ServerAdvice(SERVERS[index], weight_share) for index, weight_share in server_advices],
         )
         combiner.receive(planner, advice, age, now)
         weight_shares = combiner.compute_weight_shares(SERVERS[:listed], now)
@@ -129,10 +129,12 @@
 
 
 @given(st.dictionaries(st.integers(0, 500), st.floats(MIN_WEIGHT_SHARE, 0.99), max_size=60))
-def test_advice_fits_a_message_and_names_the_worst_servers_where_not_all_fit(sick: dict[int, float]) -> None:
+def test_advice_fits_a_message_and_names_the_worst_servers_where_not_all_fit(
+    weight_shares_by_number: dict[int, float],
+) -> None:
     verdicts = {
         server_id(f"s{number}"): HealthVerdict(HealthState.SLOW, weight_share, 2, 3)
-        for number, weight_share in sick.items()
+        for number, weight_share in weight_shares_by_number.items()
     }
     body = encode_advice(make_advice(verdicts))
     assert len(body) <= MAX_BODY_BYTES
@@ -147,16 +149,16 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         Advice(True, [ServerAdvice(b"x", 5)]),
         Advice(True, [ServerAdvice(b"x" * 6, 0)]),
         Advice(True, [ServerAdvice(b"x" * 6, 101)]),
     ],
 )
-def test_advice_with_values_out_of_range_is_invalid(bad: Advice) -> None:
+def test_advice_with_values_out_of_range_is_invalid(invalid: Advice) -> None:
     with pytest.raises(InvalidAdviceError):
-        decode_advice(msgspec.msgpack.encode(bad))
+        decode_advice(msgspec.msgpack.encode(invalid))
 
 
 @given(st.binary(max_size=MAX_BODY_BYTES))
@@ -168,10 +170,10 @@
 def test_a_dead_planner_does_not_count_beside_live_ones() -> None:
     """Neither one that found the server healthy, nor one that advised half as strongly against it."""
     combiner = AdviceCombiner()
-    combiner.receive(0, against(), 0.0, 0.0)
-    combiner.receive(1, against(3, weight_share=50), 0.0, 0.0)
+    combiner.receive(0, advice_against(), 0.0, 0.0)
+    combiner.receive(1, advice_against(3, weight_share=50), 0.0, 0.0)
     for now in (0.0, 1000.0, 2000.0):
-        combiner.receive(2, against(3), 0.0, now)
+        combiner.receive(2, advice_against(3), 0.0, now)
         assert combiner.compute_weight_shares(SERVERS, now) == (
             {SERVERS[3]: 0.02} if now > FULL_TRUST_MS else {}
         )
--- a/tests/planning/test_capacity_leasing.py
+++ b/tests/planning/test_capacity_leasing.py
@@ -80,7 +80,7 @@
             decode_lease(body)
 
 
-def member() -> EndpointRecord:
+def endpoint_record() -> EndpointRecord:
     """Return the record in which a forwarder's decision module keeps leases."""
     return EndpointRecord(Endpoint("s"), 1, Locality())
 
@@ -91,7 +91,7 @@
     late or as early as they like. Loans are late, lost and reordered; doubled ones are the wire's to drop."""
     random = Random(seed)
     now, planners = 0.0, [lease_issuer() for _ in range(3)]
-    forwarders = [member() for _ in range(random.randint(1, 8))]
+    forwarders = [endpoint_record() for _ in range(random.randint(1, 8))]
     in_flight: list[
         tuple[float, int, CapacityLease, float]
     ] = []  # arrival, forwarder, loan, when its echo was sent
@@ -112,8 +112,8 @@
             if now - arrival[3] <= MAX_LEASE_AGE_MS:
                 forwarders[arrival[1]].leases.append([now + LEASE_TTL_MS, arrival[2].sends])
         if random.random() < 0.3:
-            borrower = random.choice(forwarders)
-            while use_lease(borrower, now):
+            lease_holder = random.choice(forwarders)
+            while use_lease(lease_holder, now):
                 sent.append(now)
     for index, at in enumerate(sent):
         assert sum(at <= other < at + RULES.overload_tolerance_ms for other in sent[index:]) <= ALLOCATION
--- a/tests/planning/test_forwarders_and_planners.py
+++ b/tests/planning/test_forwarders_and_planners.py
@@ -37,12 +37,12 @@
         planners: int = 3,
         servers: int = 10,
         loss: float = 0.1,
-        late_ms: float = 50.0,
+        mean_delay_ms: float = 50.0,
     ) -> None:
         self.random = Random(seed)
         self.clock = VirtualClock()
         self.planners = planners
-        self.loss, self.late_ms = loss, late_ms
+        self.loss, self.mean_delay_ms = loss, mean_delay_ms
         self.servers = [Endpoint(f"s{number}") for number in range(servers)]
         self.unhealthy: set[str] = set()
         self.live_planners = set(range(planners))
@@ -69,14 +69,14 @@
             self.planners,
             frozenset({MessageKind.ADVICE, MessageKind.LEASE}),
         )
-        made = Forwarder(channel, self.planners, WARM_UP_MS, EPOCH_MS)
-        made.update_servers(self.servers)
-        return made
+        new_forwarder = Forwarder(channel, self.planners, WARM_UP_MS, EPOCH_MS)
+        new_forwarder.update_servers(self.servers)
+        return new_forwarder
 
     def transmit(self, call: Callable[[], None]) -> None:
         for _ in range(self.random.choice([1, 1, 1, 2])):
             if self.random.random() >= self.loss:
-                self.clock.after(self.random.expovariate(1.0 / self.late_ms), call)
+                self.clock.after(self.random.expovariate(1.0 / self.mean_delay_ms), call)
 
     def send_reports(self, number: int) -> None:
         for planner, datagram in self.forwarders[number].make_reports(self.clock.now_ms()):
@@ -135,9 +135,9 @@
     assert not any(fleet.weight_shares)
 
 
-@pytest.mark.parametrize(("loss", "late_ms"), [(1.0, 1.0), (0.0, 10_000_000.0)])
-def test_lost_or_late_messages_change_nothing(loss: float, late_ms: float) -> None:
-    fleet = Fleet(2, loss=loss, late_ms=late_ms)
+@pytest.mark.parametrize(("loss", "mean_delay_ms"), [(1.0, 1.0), (0.0, 10_000_000.0)])
+def test_lost_or_late_messages_change_nothing(loss: float, mean_delay_ms: float) -> None:
+    fleet = Fleet(2, loss=loss, mean_delay_ms=mean_delay_ms)
     fleet.unhealthy.add("s3")
     fleet.run(8000.0)
     assert fleet.events == []
@@ -161,11 +161,11 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_leases_for_a_starting_server_stay_within_the_share_and_follow_traffic(seed: int) -> None:
-    fleet = Fleet(seed, loss=0.3, late_ms=200.0)
+    fleet = Fleet(seed, loss=0.3, mean_delay_ms=200.0)
     fleet.run(8000.0)
     for _ in range(3):  # it starts again and again
-        started = Endpoint("s5", started_at=fleet.clock.now_ms())
-        fleet.servers[5] = started
+        restarted = Endpoint("s5", started_at=fleet.clock.now_ms())
+        fleet.servers[5] = restarted
         for forwarder_side in fleet.forwarders:
             forwarder_side.update_servers(fleet.servers)
         fleet.run(3000.0)
@@ -176,8 +176,8 @@
         LEASED_BUDGET_SHARE * RULES.sends_per_window(warm_rate * 10 / 9) * 1.2
     )  # estimated from random traffic
     for at, _ in leases:
-        lent = sum(event.sends for other, event in leases if at <= other < at + RULES.overload_tolerance_ms)
-        assert lent <= allocation
+        leased = sum(event.sends for other, event in leases if at <= other < at + RULES.overload_tolerance_ms)
+        assert leased <= allocation
 
 
 def test_a_lease_for_another_start_is_not_accepted() -> None:
@@ -187,8 +187,8 @@
     for forwarder_side in fleet.forwarders[:6]:
         forwarder_side.update_servers(fleet.servers)  # the others have not heard yet
     fleet.run(2000.0)
-    lent = [event for _, event in fleet.events if isinstance(event, api.SlowStartLeaseGranted)]
-    assert lent and {event.started_at for event in lent} == {fleet.servers[5].started_at}
+    leased = [event for _, event in fleet.events if isinstance(event, api.SlowStartLeaseGranted)]
+    assert leased and {event.started_at for event in leased} == {fleet.servers[5].started_at}
 
 
 def test_start_numbers_agree_among_forwarders_with_different_clocks() -> None:
--- a/tests/planning/test_golden_notes.py
+++ b/tests/planning/test_golden_notes.py
@@ -22,7 +22,7 @@
 
 FIXTURE = load(Path(__file__).parent / "fixtures" / "notes.json")
 REPORT, ADVICE, LEASE = map(MessageKind, FIXTURE["kinds"])
-READ: dict[str, Any] = {"1": decode_report, "2": decode_advice, "3": decode_lease}
+DECODERS: dict[str, Any] = {"1": decode_report, "2": decode_advice, "3": decode_lease}
 BODIES = [(kind, name) for kind, bodies in FIXTURE["bodies"].items() for name in bodies]
 # By the fixture's name of the struct: the name of each field there that was renamed since, and today's.
 RENAMED_FIELDS: dict[str, dict[str, str]] = {
@@ -44,7 +44,7 @@
 
 
 def structs() -> dict[str, StructType]:
-    report, advice, lease = (type(READ[kind](body(kind, "all fields"))) for kind in ("1", "2", "3"))
+    report, advice, lease = (type(DECODERS[kind](body(kind, "all fields"))) for kind in ("1", "2", "3"))
     return {
         "report": report,
         "report entry": struct_at(report, 4),
@@ -59,19 +59,19 @@
 
 
 def test_an_exchange_is_sealed_to_the_same_bytes_and_opened_to_the_same_messages() -> None:
-    known = {1: [1], 200: [1, 200]}  # by the key that seals: those that both sides know meanwhile
+    known_keys = {1: [1], 200: [1, 200]}  # by the key that seals: those that both sides know meanwhile
     parties = {
         "forwarder": SecureChannel(keys([1], 1), 5, 7, 3, frozenset({ADVICE, LEASE})),
         "planner": SecureChannel(keys([1], 1), 2, 0xFEDCBA98, 10, frozenset({REPORT})),
     }
     for message in FIXTURE["notes"]:
         for party in parties.values():
-            party.keys = keys(known[message["key"]], message["key"])
+            party.keys = keys(known_keys[message["key"]], message["key"])
         sender = parties[message["from"]]
         receiver = parties["planner" if message["from"] == "forwarder" else "forwarder"]
         kind, to = MessageKind(message["kind"]), 2 if message["from"] == "forwarder" else 5
-        text = body(str(message["kind"]), message["body"])
-        assert sender.seal(kind, to, text, message["sealed_at_ms"]).hex() == message["hex"]
+        content = body(str(message["kind"]), message["body"])
+        assert sender.seal(kind, to, content, message["sealed_at_ms"]).hex() == message["hex"]
         opened = receiver.open(bytes.fromhex(message["hex"]), message["opened_at_ms"])
         assert opened is not None
         assert (
@@ -81,18 +81,18 @@
             opened.number,
             opened.body,
             opened.age_ms,
-        ) == (*(kind, message["sender"], message["life"], message["number"], text, message["age_ms"]),)
+        ) == (*(kind, message["sender"], message["life"], message["number"], content, message["age_ms"]),)
 
 
 @pytest.mark.parametrize(("kind", "name"), BODIES)
 def test_a_body_is_decoded_and_encoded_again_to_the_same_bytes(kind: str, name: str) -> None:
-    read = READ[kind](body(kind, name))
-    assert to_plain(read) == to_plain(msgspec.msgpack.decode(body(kind, name)))
-    assert msgspec.msgpack.encode(read) == body(kind, name)
+    decoded = DECODERS[kind](body(kind, name))
+    assert to_plain(decoded) == to_plain(msgspec.msgpack.decode(body(kind, name)))
+    assert msgspec.msgpack.encode(decoded) == body(kind, name)
     if kind == "2":
-        assert encode_advice(read, FIXTURE["reach"][name]) == body(kind, name)
+        assert encode_advice(decoded, FIXTURE["reach"][name]) == body(kind, name)
     if kind == "3":
-        assert encode_lease(read) == body(kind, name)
+        assert encode_lease(decoded) == body(kind, name)
 
 
 @pytest.mark.parametrize("name", FIXTURE["fields"])
@@ -105,9 +105,9 @@
     framed = bytes.fromhex(FIXTURE["framed"])
     assert encode_frame(datagram) == framed
     for size in (1, 2, 3, 50, len(framed)):
-        reader = FrameDecoder()
+        decoder = FrameDecoder()
         pieces = [framed[at : at + size] for at in range(0, len(framed), size)]
-        assert [message for piece in pieces for message in reader.feed(piece)] == [datagram]
+        assert [message for piece in pieces for message in decoder.feed(piece)] == [datagram]
 
 
 @pytest.mark.parametrize("name", FIXTURE["server_ids"])
--- a/tests/planning/test_planning_simulation.py
+++ b/tests/planning/test_planning_simulation.py
@@ -26,21 +26,23 @@
 
 
 def test_every_invariant_holds_under_faults_of_planners_and_messages() -> None:
-    found = results(range(SEEDS))
-    assert [(one.seed, one.case, one.broken) for one in found if one.broken] == []
-    assert {one.case for one in found} == set(CASES)
-    assert max(one.slow_start_peak for one in found) <= 1.0
-    assert sum(one.leases for one in found) > 0  # and something was lent
-    unadvised = [one for one in found if one.case in ("planners dead from the start", "every note lost")]
-    assert all(one.leases == one.alarms == 0 for one in unadvised)
+    outcomes = results(range(SEEDS))
+    assert [(result.seed, result.case, result.broken) for result in outcomes if result.broken] == []
+    assert {result.case for result in outcomes} == set(CASES)
+    assert max(result.slow_start_peak for result in outcomes) <= 1.0
+    assert sum(result.leases for result in outcomes) > 0  # and something was lent
+    unadvised = [
+        result for result in outcomes if result.case in ("planners dead from the start", "every note lost")
+    ]
+    assert all(result.leases == result.false_alarms == 0 for result in unadvised)
 
 
 @pytest.mark.parametrize("case", ["calm", "shared slowdown"])
 def test_healthy_servers_keep_their_weight(case: str) -> None:
     with get_context("fork").Pool() as pool:
-        found = pool.map(partial(play, case=case), range(24), chunksize=2)
+        outcomes = pool.map(partial(play, case=case), range(24), chunksize=2)
     # 118 and some 70 names in 32 fleets each before lateness was measured against what is usual.
-    assert sum(one.alarms for one in found) <= 1
+    assert sum(result.false_alarms for result in outcomes) <= 1
 
 
 def test_a_permanently_unresponsive_server_is_avoided_sooner_with_planners() -> None:
@@ -57,7 +59,16 @@
     peaks = {}
     for planners in (0, 3):
         fleet = SimulatedFleet(
-            9, Size(forwarders=30, planners=planners, servers=30, rate=5.0, skew=1.2, busy=0.3, seconds=22.0)
+            9,
+            Size(
+                forwarders=30,
+                planners=planners,
+                servers=30,
+                rate=5.0,
+                skew=1.2,
+                utilization=0.3,
+                seconds=22.0,
+            ),
         )
         assert not run_schedule(fleet).broken
         shares = [fleet.share_of(name, fleet.ends_ms - 10_000.0, fleet.ends_ms) for name in fleet.servers]
@@ -68,32 +79,32 @@
 # --- that the simulation sees what is broken on purpose ---
 
 
-def broken_by(case: str, seeds: range) -> int:
+def count_failed_schedules(case: str, seeds: range) -> int:
     return sum(bool(play(seed, case).broken) for seed in seeds)
 
 
 def test_the_simulation_detects_an_overloaded_server_in_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "admits", lambda self, member, now: True)
-    assert broken_by("only cold servers left", range(6))
+    assert count_failed_schedules("only cold servers left", range(6))
 
 
 def test_the_simulation_detects_leases_beyond_the_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(capacity_leasing.LeaseIssuer, "outstanding", lambda self, server, now: 0)
     monkeypatch.setattr(capacity_leasing, "LEASED_BUDGET_SHARE", 40.0)
-    assert broken_by("only cold servers left", range(12))
+    assert count_failed_schedules("only cold servers left", range(12))
 
 
 def test_the_simulation_detects_sends_to_a_draining_server(monkeypatch: pytest.MonkeyPatch) -> None:
     update_list = SimulatedForwarder.update_list
 
-    def deaf(self: SimulatedForwarder, event: EndpointsChanged) -> None:
+    def ignore_draining(self: SimulatedForwarder, event: EndpointsChanged) -> None:
         if any(server.state is EndpointState.DRAINING for server in event.endpoints):
             self.servers_by_name |= {server.name: server for server in event.endpoints}
         else:
             update_list(self, event)
 
-    monkeypatch.setattr(SimulatedForwarder, "update_list", deaf)
-    assert broken_by("usual", range(3))
+    monkeypatch.setattr(SimulatedForwarder, "update_list", ignore_draining)
+    assert count_failed_schedules("usual", range(3))
 
 
 def test_the_simulation_detects_a_request_without_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/planning/test_sealed_messages.py
+++ b/tests/planning/test_sealed_messages.py
@@ -33,73 +33,77 @@
     return SecureChannel(keys, own_number, incarnation, 10, frozenset({MessageKind.REPORT}))
 
 
-def met(now: float = 0.0) -> tuple[SecureChannel, SecureChannel]:
+def established_channels(now: float = 0.0) -> tuple[SecureChannel, SecureChannel]:
     """Return a forwarder and a planner that have proven the age of a message to each other."""
-    ours, theirs = forwarder(), planner()
+    forwarder_channel, planner_channel = forwarder(), planner()
     for _ in range(2):
-        assert theirs.open(ours.seal(MessageKind.REPORT, 2, b"", now), now)
-        assert ours.open(theirs.seal(MessageKind.ADVICE, 5, b"", now), now)
-    return ours, theirs
+        assert planner_channel.open(forwarder_channel.seal(MessageKind.REPORT, 2, b"", now), now)
+        assert forwarder_channel.open(planner_channel.seal(MessageKind.ADVICE, 5, b"", now), now)
+    return forwarder_channel, planner_channel
 
 
 def test_a_message_is_opened_as_it_was_sealed_and_its_echo_proves_its_age() -> None:
-    ours, theirs = met()
-    assert theirs.open(ours.seal(MessageKind.REPORT, 2, b"report", 100.0), 130.0) is not None
-    message = ours.open(theirs.seal(MessageKind.LEASE, 5, b"loan", 150.0), 400.0)
+    forwarder_channel, planner_channel = established_channels()
+    assert (
+        planner_channel.open(forwarder_channel.seal(MessageKind.REPORT, 2, b"report", 100.0), 130.0)
+        is not None
+    )
+    message = forwarder_channel.open(planner_channel.seal(MessageKind.LEASE, 5, b"loan", 150.0), 400.0)
     assert message == Message(MessageKind.LEASE, 2, 9, 3, b"loan", 300.0)
     assert message.is_fresh(300.0) and not message.is_fresh(299.0)
 
 
 def test_the_first_message_does_not_prove_its_age_and_the_next_one_does() -> None:
-    ours, theirs = forwarder(), planner()
-    first = theirs.open(ours.seal(MessageKind.REPORT, 2, b"", 0.0), 1.0)
+    forwarder_channel, planner_channel = forwarder(), planner()
+    first = planner_channel.open(forwarder_channel.seal(MessageKind.REPORT, 2, b"", 0.0), 1.0)
     assert first is not None and first.age_ms is None and not first.is_fresh(1e9)
-    advice = ours.open(theirs.seal(MessageKind.ADVICE, 5, b"", 2.0), 3.0)
+    advice = forwarder_channel.open(planner_channel.seal(MessageKind.ADVICE, 5, b"", 2.0), 3.0)
     assert advice is not None and advice.age_ms == 3.0
-    second = theirs.open(ours.seal(MessageKind.REPORT, 2, b"", 4.0), 5.0)
+    second = planner_channel.open(forwarder_channel.seal(MessageKind.REPORT, 2, b"", 4.0), 5.0)
     assert second is not None and second.age_ms == 3.0
 
 
 def test_a_duplicate_message_is_accepted_once_and_so_is_a_late_one() -> None:
-    ours, theirs = met()
+    forwarder_channel, planner_channel = established_channels()
     messages = [
-        theirs.seal(MessageKind.ADVICE, 5, b"%d" % number, 1.0) for number in range(REPLAY_WINDOW + 2)
+        planner_channel.seal(MessageKind.ADVICE, 5, b"%d" % number, 1.0)
+        for number in range(REPLAY_WINDOW + 2)
     ]
     order = [3, 1, 3, 2, 1, 0]
-    taken = [ours.open(messages[number], 2.0) is not None for number in order]
-    assert taken == [True, True, False, True, False, True]
-    assert ours.open(messages[-1], 2.0) is not None
-    assert ours.open(messages[1], 2.0) is None  # too far behind to be told from a repeat
-    assert ours.dropped == {DropReason.REPLAYED: 3}
+    accepted = [forwarder_channel.open(messages[number], 2.0) is not None for number in order]
+    assert accepted == [True, True, False, True, False, True]
+    assert forwarder_channel.open(messages[-1], 2.0) is not None
+    assert forwarder_channel.open(messages[1], 2.0) is None  # too far behind to be told from a repeat
+    assert forwarder_channel.dropped == {DropReason.REPLAYED: 3}
 
 
 def test_messages_of_a_former_incarnation_prove_no_age_and_block_no_peer() -> None:
-    ours, theirs = met()
-    old = [theirs.seal(MessageKind.LEASE, 5, b"old", 1.0) for _ in range(3)]
-    reborn = planner(incarnation=10)
+    forwarder_channel, planner_channel = established_channels()
+    old = [planner_channel.seal(MessageKind.LEASE, 5, b"old", 1.0) for _ in range(3)]
+    restarted = planner(incarnation=10)
     for _ in range(2):
-        reborn.open(ours.seal(MessageKind.REPORT, 2, b"", 2.0), 2.0)
-        message = ours.open(reborn.seal(MessageKind.ADVICE, 5, b"", 3.0), 3.0)
+        restarted.open(forwarder_channel.seal(MessageKind.REPORT, 2, b"", 2.0), 2.0)
+        message = forwarder_channel.open(restarted.seal(MessageKind.ADVICE, 5, b"", 3.0), 3.0)
         assert message is not None and message.is_fresh(10.0)
     for datagram in old:
-        stale = ours.open(datagram, 4.0)
+        stale = forwarder_channel.open(datagram, 4.0)
         assert stale is None or not stale.is_fresh(0.5)
-    assert reborn.open(ours.seal(MessageKind.REPORT, 2, b"", 5.0), 5.0) is not None
-    message = ours.open(reborn.seal(MessageKind.ADVICE, 5, b"", 6.0), 6.0)
+    assert restarted.open(forwarder_channel.seal(MessageKind.REPORT, 2, b"", 5.0), 5.0) is not None
+    message = forwarder_channel.open(restarted.seal(MessageKind.ADVICE, 5, b"", 6.0), 6.0)
     assert message is not None and message.is_fresh(10.0)
 
 
 def test_a_restarted_receiver_trusts_no_message_to_its_former_incarnation() -> None:
-    _, theirs = met()
-    loan = theirs.seal(MessageKind.LEASE, 5, b"", 1.0)
-    message = forwarder(incarnation=8).open(loan, 2.0)
+    _, planner_channel = established_channels()
+    lease = planner_channel.seal(MessageKind.LEASE, 5, b"", 1.0)
+    message = forwarder(incarnation=8).open(lease, 2.0)
     assert message is not None and message.age_ms is None
 
 
 def test_a_message_to_another_receiver_has_a_bad_seal() -> None:
-    _, theirs = met()
+    _, planner_channel = established_channels()
     other = forwarder(own_number=6)
-    assert other.open(theirs.seal(MessageKind.LEASE, 5, b"", 1.0), 1.0) is None
+    assert other.open(planner_channel.seal(MessageKind.LEASE, 5, b"", 1.0), 1.0) is None
     assert other.dropped == {DropReason.BAD_SEAL: 1}
 
 
@@ -126,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "current", "said"),
+    ("known", "current", "expected_error"),
     [
         ({}, 1, "one key or two"),
         ({1: OLD, 2: OLD, 3: OLD}, 1, "one key or two"),
@@ -136,8 +140,8 @@
         ({1: OLD + b"x"}, 1, "33 bytes"),
     ],
 )
-def test_unusable_keys_are_rejected(known: dict[int, bytes], current: int, said: str) -> None:
-    with pytest.raises(ValueError, match=said):
+def test_unusable_keys_are_rejected(known: dict[int, bytes], current: int, expected_error: str) -> None:
+    with pytest.raises(ValueError, match=expected_error):
         KeyRing(known, current)
 
 
@@ -148,7 +152,7 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "why"),
+    ("make_datagram", "reason"),
     [
         (lambda: b"", DropReason.SIZE),
         (lambda: b"x" * 257, DropReason.SIZE),
@@ -164,23 +168,23 @@
         ),
     ],
 )
-def test_dropped_datagrams_are_counted_by_reason(make: object, why: DropReason) -> None:
-    theirs = planner()
-    assert theirs.open(make(), 0.0) is None  # type: ignore[operator]
-    assert theirs.dropped == {why: 1}
+def test_dropped_datagrams_are_counted_by_reason(make_datagram: object, reason: DropReason) -> None:
+    planner_channel = planner()
+    assert planner_channel.open(make_datagram(), 0.0) is None  # type: ignore[operator]
+    assert planner_channel.dropped == {reason: 1}
 
 
 @given(st.binary(max_size=MAX_BODY_BYTES), st.integers(0, MAX_MESSAGE_BYTES - 1), st.integers(1, 255))
-def test_a_changed_byte_is_detected(body: bytes, place: int, flip: int) -> None:
+def test_a_changed_byte_is_detected(body: bytes, position: int, flip: int) -> None:
     sealed = bytearray(forwarder().seal(MessageKind.REPORT, 2, body, 0.0))
-    sealed[place % len(sealed)] ^= flip
+    sealed[position % len(sealed)] ^= flip
     assert planner().open(bytes(sealed), 0.0) is None
 
 
 @given(st.binary(max_size=300))
 def test_garbage_is_dropped(garbage: bytes) -> None:
-    theirs = planner()
-    assert theirs.open(garbage, 0.0) is None and theirs.dropped.total() == 1
+    planner_channel = planner()
+    assert planner_channel.open(garbage, 0.0) is None and planner_channel.dropped.total() == 1
 
 
 @given(st.integers(0, 2**32), st.integers(1, 60))
@@ -189,36 +193,46 @@
 ) -> None:
     """Messages are lost, duplicated, reordered and late; processes restart."""
     random = Random(seed)
-    parties = {"ours": forwarder(incarnation=1), "theirs": planner(incarnation=1)}
-    incarnations = {"ours": 1, "theirs": 1}
-    flying: list[tuple[float, str, bytes, float, tuple[str, int, int]]] = []
-    taken: set[tuple[str, int, int, int]] = set()
-    now, written = 0.0, 0
+    parties = {"forwarder": forwarder(incarnation=1), "planner": planner(incarnation=1)}
+    incarnations = {"forwarder": 1, "planner": 1}
+    in_flight: list[tuple[float, str, bytes, float, tuple[str, int, int]]] = []
+    accepted: set[tuple[str, int, int, int]] = set()
+    now, sealed_count = 0.0, 0
     for _ in range(count):
         now += random.uniform(0.0, 50.0)
-        what = random.random()
-        if what < 0.05:
+        action = random.random()
+        if action < 0.05:
             name = random.choice(list(parties))
             incarnations[name] += 1
             incarnation = incarnations[name]
             parties[name] = (
-                forwarder(incarnation=incarnation) if name == "ours" else planner(incarnation=incarnation)
+                forwarder(incarnation=incarnation)
+                if name == "forwarder"
+                else planner(incarnation=incarnation)
             )
-        elif what < 0.6:
-            name, other = random.choice([("ours", "theirs"), ("theirs", "ours")])
-            written += 1
+        elif action < 0.6:
+            name, other = random.choice([("forwarder", "planner"), ("planner", "forwarder")])
+            sealed_count += 1
             sealed = parties[name].seal(
-                *((MessageKind.REPORT, 2) if name == "ours" else (MessageKind.LEASE, 5)), b"%d" % written, now
+                *((MessageKind.REPORT, 2) if name == "forwarder" else (MessageKind.LEASE, 5)),
+                b"%d" % sealed_count,
+                now,
             )
             for _ in range(random.choice([0, 1, 1, 2])):
-                flying.append(
-                    (now + random.expovariate(0.01), other, sealed, now, (name, incarnations[name], written))
+                in_flight.append(
+                    (
+                        now + random.expovariate(0.01),
+                        other,
+                        sealed,
+                        now,
+                        (name, incarnations[name], sealed_count),
+                    )
                 )
-        for one in [one for one in flying if one[0] <= now]:
-            flying.remove(one)
-            _, to, sealed, written_at, mark = one
+        for delivery in [delivery for delivery in in_flight if delivery[0] <= now]:
+            in_flight.remove(delivery)
+            _, to, sealed, sealed_at, message_key = delivery
             message = parties[to].open(sealed, now)
             if message is not None and message.age_ms is not None:
-                assert message.age_ms >= now - written_at
-                assert (*mark, incarnations[to]) not in taken
-                taken.add((*mark, incarnations[to]))
+                assert message.age_ms >= now - sealed_at
+                assert (*message_key, incarnations[to]) not in accepted
+                accepted.add((*message_key, incarnations[to]))
--- a/tests/planning/test_settings.py
+++ b/tests/planning/test_settings.py
@@ -15,7 +15,7 @@
 DEPLOY = Path(__file__).parents[2] / "deploy"
 
 
-def written(folder: Path, text: str, key: str = "ab" * 32) -> Path:
+def write_settings(folder: Path, text: str, key: str = "ab" * 32) -> Path:
     (folder / "notes.key").write_text(key)
     (folder / "file.toml").write_text(text)
     return folder / "file.toml"
@@ -30,23 +30,25 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "said"),
+    ("name", "expected_text"),
     [("planners", "planner 0 of 3, 1 fleets, 1 keys"), ("forwarders", "forwarder 7, 1 services, 1 keys")],
 )
-def test_the_example_files_are_valid(name: str, said: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_example_files_are_valid(
+    name: str, expected_text: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert proxy_commands.main(["check", str(DEPLOY / f"{name}.example.toml")]) == 0
-    assert said in capsys.readouterr().out
+    assert expected_text in capsys.readouterr().out
 
 
 def test_files_are_read(tmp_path: Path) -> None:
-    planners, keys = load_planners(written(tmp_path, PLANNERS))
+    planners, keys = load_planners(write_settings(tmp_path, PLANNERS))
     assert planners.fleet[0].slow_start is None and keys.known == {1: b"\xab" * 32} and keys.current == 1
-    forwarders, _ = load_forwarders(written(tmp_path, FORWARDERS))
+    forwarders, _ = load_forwarders(write_settings(tmp_path, FORWARDERS))
     assert forwarders.service[0].addresses() == [("127.0.0.1", 7946)]
 
 
 def test_all_errors_of_a_planners_file_are_reported(tmp_path: Path) -> None:
-    path = written(
+    path = write_settings(
         tmp_path,
         """
 [planner]
@@ -84,7 +86,7 @@
 
 
 def test_all_errors_of_a_forwarders_file_are_reported(tmp_path: Path) -> None:
-    path = written(
+    path = write_settings(
         tmp_path,
         """
 [forwarder]
@@ -121,21 +123,21 @@
     ):
         text = FORWARDERS.replace('["127.0.0.1:7946"]', repr(planners))
         with pytest.raises(SettingsError) as found:
-            load_forwarders(written(tmp_path, text))
+            load_forwarders(write_settings(tmp_path, text))
         assert [problem.path for problem in found.value.problems] == [path]
 
 
 @pytest.mark.parametrize("key", ["", "ab", "xyz" * 12, "ab" * 40])
 def test_an_invalid_key_is_named_and_not_shown(tmp_path: Path, key: str) -> None:
     with pytest.raises(SettingsError) as found:
-        load_planners(written(tmp_path, PLANNERS, key))
+        load_planners(write_settings(tmp_path, PLANNERS, key))
     (problem,) = found.value.problems
     assert problem.path == "keys.known.0.file" and "notes.key" in problem.text
     assert not key or key not in str(problem)
 
 
 def test_a_missing_key_file_is_reported(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    path = written(tmp_path, FORWARDERS)
+    path = write_settings(tmp_path, FORWARDERS)
     (tmp_path / "notes.key").unlink()
     assert proxy_commands.main(["check", str(path)]) == 2
     assert "keys.known.0.file" in capsys.readouterr().err
@@ -144,7 +146,7 @@
 def test_a_forwarders_file_for_an_unknown_service_is_rejected(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = written(tmp_path, FORWARDERS)
+    path = write_settings(tmp_path, FORWARDERS)
     services = str(DEPLOY / "services.example.toml")
     assert proxy_commands.main(["serve", services, "--planning", str(path)]) == 2
     assert "has no service a" in capsys.readouterr().err
@@ -153,10 +155,10 @@
 def test_a_missing_or_unreachable_status_page_is_reported(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = written(tmp_path, PLANNERS)
+    path = write_settings(tmp_path, PLANNERS)
     assert proxy_commands.main(["planner", "status", str(path)]) == 2
     assert "planner.status: missing" in capsys.readouterr().err
-    path = written(tmp_path, PLANNERS.replace("planners = 1", 'planners = 1\nstatus = "127.0.0.1:1"'))
+    path = write_settings(tmp_path, PLANNERS.replace("planners = 1", 'planners = 1\nstatus = "127.0.0.1:1"'))
     assert proxy_commands.main(["planner", "status", str(path)]) == 1
 
 
--- a/tests/planning/test_transport.py
+++ b/tests/planning/test_transport.py
@@ -53,9 +53,9 @@
     return PlannerServer(Path("unused"), file, keys)
 
 
-async def until(true: Callable[[], object], seconds: float = 15.0) -> None:
+async def wait_until(condition: Callable[[], object], seconds: float = 15.0) -> None:
     async with asyncio.timeout(seconds):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.02)
 
 
@@ -105,7 +105,7 @@
             self.weight_shares[id(http)] = dict(event.weight_shares)
         http._host.submit_event(event)
 
-    def play(self, seconds: float, rate: float = 80.0) -> None:
+    def start_load(self, seconds: float, rate: float = 80.0) -> None:
         self.loads = []
         for number, harness in enumerate(self.harnesses):
             load = harness.load(self.service.load(rate, rate / 8), number, f"c{number}")
@@ -114,7 +114,7 @@
     async def check_client_logs(self) -> None:
         client_logs = await asyncio.gather(*self.loads)
         assert not check_rules(
-            ClientLog([one for client_log in client_logs for one in client_log.attempts]),
+            ClientLog([entry for client_log in client_logs for entry in client_log.attempts]),
             self.service.request_log,
         )
 
@@ -142,16 +142,16 @@
                 planner_transport = harness.services.running["a"].planner_transport
                 assert planner_transport is not None
                 planner_transport._deliver = harness.services.running["a"].http.submit_event
-            fleet.play(8.0)
-            await until(lambda: fleet.forwarder_counts() == [5, 5])
+            fleet.start_load(8.0)
+            await wait_until(lambda: fleet.forwarder_counts() == [5, 5])
             fleet.service.servers[2].freeze()
-            await until(lambda: fleet.avoided_by("a-2") == 5)
+            await wait_until(lambda: fleet.avoided_by("a-2") == 5)
             assert not any(fleet.avoided_by(f"a-{other}") for other in (0, 1, 3, 4, 5))
             fleet.planners[0].stop()  # the other is enough, once the dead one's good opinion has no say
             await asyncio.sleep(2.0)
             assert fleet.avoided_by("a-2") == 5
             fleet.service.servers[2].thaw()
-            await until(
+            await wait_until(
                 lambda: all(
                     weight_shares.get("a-2", 1.0) > 0.05 for weight_shares in fleet.weight_shares.values()
                 )
@@ -165,14 +165,14 @@
 def test_a_planner_that_restarts_at_its_address_gets_reports_again() -> None:
     async def test() -> None:
         fleet = await Fleet.start(3, 1, "tcp")
-        fleet.play(3.0)
-        await until(lambda: fleet.forwarder_counts() == [3])
+        fleet.start_load(3.0)
+        await wait_until(lambda: fleet.forwarder_counts() == [3])
         host, port = fleet.planners[0].fleets[0].address
         fleet.planners[0].stop()
         await asyncio.sleep(0.6)  # a beat without a planner
         fleet.planners[0] = planner(0, 1, f"{host}:{port}")
         await fleet.planners[0].start()
-        await until(lambda: fleet.forwarder_counts() == [3])
+        await wait_until(lambda: fleet.forwarder_counts() == [3])
         await fleet.check_client_logs()
 
     run(test)
@@ -182,7 +182,7 @@
     async def test() -> None:
         fleet = await Fleet.start(3, 1)
         channel = fleet.planners[0].fleets[0].channel
-        await until(lambda: fleet.forwarder_counts() == [3])
+        await wait_until(lambda: fleet.forwarder_counts() == [3])
         for keys in (
             KeyRing(NEW.known, 1),
             NEW,
@@ -192,7 +192,7 @@
             for harness in fleet.harnesses:
                 assert harness.services.planner_transports is not None
                 harness.services.planner_transports.change_keys(keys)
-            await until(partial(fleet.have_all_reported_since, now_ms()))
+            await wait_until(partial(fleet.have_all_reported_since, now_ms()))
         assert not channel.dropped[DropReason.BAD_SEAL] and not channel.dropped[DropReason.UNKNOWN_SENDER]
 
     run(test)
@@ -206,14 +206,14 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
             for datagram in (b"x", b"\x01" * 60, b"\x09" * 60, b"y" * 1000):
                 udp_socket.sendto(datagram, address)
-        await until(lambda: channel.dropped.total() >= 4)
-        for bad in (b"\xff\xff", b"\0\0", encode_frame(b"\x01" * 60)):
+        await wait_until(lambda: channel.dropped.total() >= 4)
+        for invalid_frame in (b"\xff\xff", b"\0\0", encode_frame(b"\x01" * 60)):
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(bad)
-            if bad != encode_frame(b"\x01" * 60):
+            writer.write(invalid_frame)
+            if invalid_frame != encode_frame(b"\x01" * 60):
                 assert await reader.read() == b""  # closed: notes can't be told apart any more
             writer.close()
-        await until(lambda: fleet.forwarder_counts() == [2])
+        await wait_until(lambda: fleet.forwarder_counts() == [2])
 
     run(test)
 
@@ -224,9 +224,9 @@
         planner_transport = fleet.harnesses[0].services.running["a"].planner_transport
         assert planner_transport is not None
         with mock.patch.object(Forwarder, "on_attempt_sent", side_effect=RuntimeError("broken on purpose")):
-            fleet.play(0.5)
+            fleet.start_load(0.5)
             client_log = await fleet.loads[0]
-        assert client_log.attempts and all(one.was_served for one in client_log.attempts)
+        assert client_log.attempts and all(entry.was_served for entry in client_log.attempts)
         assert planner_transport.has_failed
 
     run(test)
@@ -235,15 +235,15 @@
 def test_the_status_page_shows_forwarders_and_unhealthy_servers() -> None:
     async def test() -> None:
         fleet = await Fleet.start(3, 1)
-        fleet.play(5.0)
+        fleet.start_load(5.0)
         fleet.service.servers[4].freeze()
-        await until(
+        await wait_until(
             lambda: fleet.forwarder_counts() == [3] and fleet.planners[0].status().fleets[0].unhealthy
         )
         assert fleet.planners[0].status_address is not None
         reader, _ = await asyncio.open_connection(*fleet.planners[0].status_address)
         status = msgspec.json.decode(await reader.read(), type=Status)
-        assert sorted(one.number for one in status.fleets[0].forwarders) == [0, 1, 2]
+        assert sorted(entry.number for entry in status.fleets[0].forwarders) == [0, 1, 2]
         text = render_page(status, [server.model.name for server in fleet.service.servers])
         assert "3 forwarders report on 6 servers" in text
         assert any(line.split()[0] == "a-4" for line in text.splitlines() if line.strip())
@@ -323,8 +323,8 @@
 
 
 async def _status_page(planners: Path, services: Path) -> str:
-    shown = await _command("planner", "status", str(planners), "--names", str(services))
-    out, _ = await shown.communicate()
+    command = await _command("planner", "status", str(planners), "--names", str(services))
+    out, _ = await command.communicate()
     return out.decode()
 
 
@@ -332,7 +332,7 @@
     async def test() -> None:
         fleet = await Fleet.start(1, 1)
         services, other = fleet.harnesses[0].services, await StandInService("b").add(1)
-        await until(lambda: fleet.forwarder_counts() == [1])
+        await wait_until(lambda: fleet.forwarder_counts() == [1])
         assert (
             services.planner_transports is not None and len(services.planner_transports._open_transports) == 1
         )
@@ -340,7 +340,7 @@
         assert not services.planner_transports._open_transports
         since = now_ms()
         services.apply(make_settings(fleet.service.entry(), other.entry()))
-        await until(lambda: fleet.have_all_reported_since(since))
+        await wait_until(lambda: fleet.have_all_reported_since(since))
         assert len(services.planner_transports._open_transports) == 1
 
     run(test)
