--- a/cometdoor/planning/advice.py
+++ b/cometdoor/planning/advice.py
@@ -6,14 +6,14 @@
 
 - A planner is trusted fully for `FULL_TRUST_MS`, then less and less, and not at all after `ADVICE_TTL_MS`.
   The age of advice is what its message proves (`sealed_messages`), by the forwarder's own clock.
-- Where planners contradict one another, the advice that changes least counts: a planner that errs or lies
-  can't take weight from a server that another one, as fresh, finds healthy. Older advice counts only where
-  there is no fresh advice.
+- Where planners contradict one another, the advice with the smallest change applies: a faulty or malicious
+  planner can't take weight from a server that another planner, with advice as fresh, finds healthy. Older
+  advice counts only where there is no fresh advice.
 - Advice against more than half of the servers shows a fault of the planner or of something that all servers
   share: none of it is followed.
-- Weight is taken away at once and given back slowly, so that it does not flap.
+- Weight is reduced immediately and restored gradually, so that it does not flap.
 - Subsets follow traffic: a forwarder with several times the mean traffic is advised to use as many times more
-  servers. Here too the advice that changes least counts, and it is held for a time.
+  servers. Here too the smallest change applies, and a scale is kept for a minimum time.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 class InvalidAdviceError(CometdoorError):
-    """A message's body is no advice, or has values out of range."""
+    """A message's body is not valid advice, or has values out of range."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -99,11 +99,11 @@
         raise InvalidAdviceError(str(problem)) from problem
     for server_advice in advice.server_advices:
         if len(server_advice.server) != SERVER_ID_BYTES:
-            raise InvalidAdviceError(f"a server's id of {len(server_advice.server)} bytes")
+            raise InvalidAdviceError(f"server id has an invalid length of {len(server_advice.server)} bytes")
         if not 1 <= server_advice.weight_share <= WEIGHT_STEPS:
-            raise InvalidAdviceError(f"{server_advice.weight_share} hundredths of a weight")
+            raise InvalidAdviceError(f"{server_advice.weight_share} hundredths of a weight are out of range")
     if advice.subset_scale and not SCALE_STEPS <= advice.subset_scale <= MAX_SCALE_TENTHS:
-        raise InvalidAdviceError(f"a subset scale of {advice.subset_scale} tenths")
+        raise InvalidAdviceError(f"a subset scale of {advice.subset_scale} tenths is out of range")
     return advice
 
 
--- a/cometdoor/planning/capacity_leasing.py
+++ b/cometdoor/planning/capacity_leasing.py
@@ -10,9 +10,9 @@
 `max_lease_age_ms` before. So a lease is used within `max_lease_age_ms + lease_ttl_ms` of its issue, and what
 a planner issues within that time and one more window is bounded by its part of one window.
 
-Duplicate messages are dropped by their numbers, forged ones by their seals, late ones by their echoes. Leases
-of several planners come out of different parts, also when the planners contradict one another. So no set of
-leases exceeds the budget.
+Duplicate messages are detected by their numbers, forged ones by their seals, late ones by their echoes, and
+all of these are dropped. Leases of several planners use different parts, also when the planners contradict
+one another. So no set of leases exceeds the budget.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
     """How servers in slow start behave, as configured."""
 
     slow_start_initial_share: float  # share of its capacity that a server starts with
-    overload_factor: float  # a starting server that is sent this multiple of its capacity
-    overload_tolerance_ms: float  # for this time collapses
+    overload_factor: float  # multiple of its capacity that overloads a starting server
+    overload_tolerance_ms: float  # time under that overload after which it collapses
 
     def sends_per_window(self, warm_rate: float) -> float:
         """Return the attempts that a server may get within one window just after its start.
@@ -148,7 +148,7 @@
 
 
 class InvalidLeaseError(CometdoorError):
-    """A message's body is no lease, or has values out of range."""
+    """A message's body is not a valid lease, or has values out of range."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -167,5 +167,7 @@
     except msgspec.DecodeError as problem:
         raise InvalidLeaseError(str(problem)) from problem
     if len(lease.server) != SERVER_ID_BYTES or lease.sends < 1:
-        raise InvalidLeaseError(f"{lease.sends} sends to a server with an id of {len(lease.server)} bytes")
+        raise InvalidLeaseError(
+            f"{lease.sends} attempts to a server with an id of {len(lease.server)} bytes are not valid"
+        )
     return lease
--- a/cometdoor/planning/framing.py
+++ b/cometdoor/planning/framing.py
@@ -37,7 +37,7 @@
         while len(self._buffer) >= LENGTH_BYTES:
             size = int.from_bytes(self._buffer[:LENGTH_BYTES])
             if not 0 < size <= MAX_MESSAGE_BYTES:
-                raise FrameError(f"a message of {size} bytes")
+                raise FrameError(f"frame length of {size} bytes is out of range")
             if len(self._buffer) < LENGTH_BYTES + size:
                 return
             message = bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + size])
--- a/cometdoor/planning/health_records.py
+++ b/cometdoor/planning/health_records.py
@@ -20,10 +20,11 @@
     ServerReport,
 )
 
-EVIDENCE_DECAY_MS = 3_000.0  # time constant, as that of failures in the decision module
-# A pending call that exceeds the longest usual latency by this, while nothing is answered, counts as stalled:
-# longer than any pause of a healthy garbage collector. When the limit applied to the call's age alone,
-# healthy servers with 0.2 s of work and more were found unhealthy: 118 in 32 seeded fleets.
+EVIDENCE_DECAY_MS = 3_000.0  # time constant; the same as that of failures in the decision module
+# A pending call counts as stalled if it exceeds the longest usual latency by this time while the server
+# answers nothing. The time is longer than any garbage collection pause of a healthy server. A limit on the
+# age of the call alone marks healthy servers with 0.2 s of work or more as unhealthy: 118 in 32 seeded
+# fleets.
 STALLED_CALL_AGE_MS = 400.0
 REPORT_TIME_ERROR_MS = 200.0  # error of times in reports: network delay, and rounding to 0.1 s
 MAX_OBSERVERS_PER_SERVER = 12  # bounds memory; more observers change no median
@@ -53,7 +54,7 @@
     def add(self, entry: ServerReport, now_ms: float) -> None:
         """Add a report's entry."""
         self.decay(now_ms)
-        # A rejection is no fault of the process: it is at its capacity, which its latency shows.
+        # A rejection is not a failure of the server, which is at its capacity; its latency shows that.
         failed = sum(entry.failures) - entry.failures[FailureKind.REJECTED]
         self.answered += entry.answered
         self.failed += failed
@@ -108,8 +109,8 @@
 
     start_number: int  # the start that most observers name
     last_report_ms: float
-    known_ms: float  # since when most observers name that start
-    named_since_ms: dict[int, float] = field(default_factory=dict)  # by start that is named: since when
+    known_ms: float  # time since which most observers have named that start
+    named_since_ms: dict[int, float] = field(default_factory=dict)  # by start: time since which it is named
     observers: dict[int, ObserverRecord] = field(default_factory=dict)  # by number of the forwarder
     answered_ms: float = -math.inf  # its last reported answer
     answers_ms: deque[float] = field(default_factory=lambda: deque(maxlen=MISSED_ANSWERS))  # as last reported
@@ -144,10 +145,10 @@
         return observer
 
     def update_start(self, now_ms: float) -> None:
-        """Switch to the start that most observers name, and drop what was known of another start.
+        """Switch to the start that most observers name, and discard what was recorded of the former one.
 
-        A single observer can't cause the switch, since its list may lag or its report may be wrong. When one
-        was enough, each of its reports discarded the evidence of all others.
+        A single observer can't cause the switch, since its list may lag or its report may be wrong. If one
+        were enough, each of its reports would discard the evidence of all others.
         """
         reports_by_start = Counter(
             observer.start_number
@@ -168,7 +169,7 @@
             self.answers_ms.clear()
 
     def answering_since_ms(self) -> float:
-        """Return since when it has had MISSED_ANSWERS reports of answers."""
+        """Return the time since which there have been MISSED_ANSWERS reports of answers."""
         return min(self.answers_ms) if len(self.answers_ms) == MISSED_ANSWERS else -math.inf
 
     def is_overdue(self, answering_since_ms: float) -> bool:
@@ -195,9 +196,9 @@
     sends_per_s: float = 0.0  # in the last reporting interval
     warm_rate: float = 0.0  # attempts per ms that a warm server of weight 1 gets from it
     servers: int = 0  # in its endpoint list
-    traffic_per_s: float = 0.0  # mean over TRAFFIC_WINDOW_MS, or over the time that it is known
+    traffic_per_s: float = 0.0  # mean over TRAFFIC_WINDOW_MS, or since its first report if shorter
     known_ms: float = 0.0  # for how long it has reported
-    counted_sends: float = 0.0  # attempts since it is known
+    counted_sends: float = 0.0  # attempts since its first report
 
     def add(self, report: LoadReport, now_ms: float) -> None:
         """Add a report that is not the first one."""
--- a/cometdoor/planning/health_scoring.py
+++ b/cometdoor/planning/health_scoring.py
@@ -1,7 +1,7 @@
 """A planner's model of the servers' health, from the reports of forwarders. No I/O.
 
 `health_records` keeps the evidence and `health_verdicts` decides on one server. This module compares all
-servers, and keeps a verdict for a time when there is no new evidence.
+servers, and retains a verdict for a limited time when there is no new evidence.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 RECORD_TTL_MS = 15_000.0  # records without a report for this time are dropped: five decay constants
 MAX_SERVERS = 20_000  # twice the largest planned fleet; beyond it the longest unreported are dropped
 # An unhealthy server that gets no attempts yields no evidence. The last verdict is kept for this time, unless
-# the server answers. Without this, an unresponsive server regained a fifth of its weight after 6 s.
+# the server answers. Without this, an unresponsive server regains a fifth of its weight after 6 s.
 VERDICT_TTL_MS = 10_000.0
 MIN_COUNTED_SENDS = 20.0  # attempts before a forwarder's traffic counts: its error is a quarter then
 
@@ -54,7 +54,7 @@
     """Holds the records of all servers and forwarders, and derives verdicts and traffic figures from them."""
 
     def __init__(self) -> None:
-        self._mean_traffic_per_s = 0.0  # of the mean forwarder, as last counted
+        self._mean_traffic_per_s = 0.0  # of the mean forwarder, as last computed
         self._servers: dict[bytes, ServerRecord] = {}  # by id, in the order of the last report
         self._forwarders: dict[int, ForwarderRecord] = {}
 
@@ -122,7 +122,7 @@
     def warm_rate(self) -> float:
         """Return the attempts per ms that a warm server of weight 1 gets from all forwarders that report.
 
-        A forwarder that reports nonsense moves it by twice the median forwarder's rate at most.
+        A forwarder with false reports changes it by at most twice the median forwarder's rate.
         """
         rates = [record.warm_rate for record in self._forwarders.values()]
         if not rates:
--- a/cometdoor/planning/health_verdicts.py
+++ b/cometdoor/planning/health_verdicts.py
@@ -18,22 +18,22 @@
 # report nonsense. On servers that only one forwarder uses it decides alone.
 MIN_AGREEING_OBSERVERS = 2
 # A server is overdue once the median server had this many reports of answers since its last answer. By chance
-# one healthy server in e**6 is overdue, so that observers must agree as well. Counting over the same time for
-# all servers keeps a shared slowdown from accusing any; a mean of the last seconds accused six in 24 fleets.
+# one healthy server in e**6 is overdue, so observers must agree as well. Counting over the same time for all
+# servers avoids false verdicts under a shared slowdown; a mean over the last seconds gave six in 24 fleets.
 MISSED_ANSWERS = 6
-# Evidence in nats that observers must have. Each call that was lost, or is pending for too long, counts as
-# the probability of a failure at the median server, which makes three calls where few fail. Under a shared
-# slowdown a healthy server was found unresponsive in two of 32 fleets by the number of observers alone, in
-# three by two such calls, and in one by three.
+# Evidence in nats that observers must have. Each call that was lost, or is pending for too long, adds minus
+# the logarithm of the probability of a failure at the median server: where few calls fail, three such calls
+# are enough. Under a shared slowdown, a healthy server is found unresponsive in two of 32 fleets if only the
+# number of observers counts, in three if two such calls are required, and in one with three.
 MIN_STALL_EVIDENCE_NATS = 8.0
-SLOW_THRESHOLD_DOUBLINGS = 1.0  # above the median server's latency: from here on a server is slow
+SLOW_THRESHOLD_DOUBLINGS = 1.0  # a server is slow if its latency exceeds the median server's by this
 # Standard deviations beyond chance: 300 servers are assessed four times a second, and no healthy one may be
 # found unhealthy in days. Without this bound servers of healthy seeded fleets are found slow and failing
 # (tests/planning/test_health_scoring.py).
 SIGNIFICANCE_SIGMAS = 5.0
-LOG2_LATENCY_STDDEV = 1.85  # doublings: of an exponentially distributed time, pi / sqrt(6) / ln 2
+LOG2_LATENCY_STDDEV = 1.85  # in doublings; of an exponentially distributed time: pi / sqrt(6) / ln 2
 BASELINE_FAILURE_SHARE = 0.05  # of calls that fail or are overtaken by a hedge where all are healthy
-FAILING_THRESHOLD_SHARE = 0.3  # below the median server's share of successes, as a share of it: failing
+FAILING_THRESHOLD_SHARE = 0.3  # a server whose successes are this share below the median is failing
 MIN_WEIGHT_SHARE = 0.02  # weight that an unhealthy server keeps, so that its recovery is seen
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthVerdict:
-    """What a planner concludes on a server."""
+    """A planner's conclusion about a server."""
 
     state: HealthState
     weight_share: float  # share of its weight that it should keep, in (0, 1]
@@ -78,7 +78,7 @@
 
     log2_latency: float
     success_share: float
-    answering_since_ms: float  # since when it has had MISSED_ANSWERS reports of answers
+    answering_since_ms: float  # time since which it has had MISSED_ANSWERS reports of answers
     quorum: int  # observers that must agree
 
 
--- a/cometdoor/planning/load_reports.py
+++ b/cometdoor/planning/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: a forwarder's observations of its servers, summed up for planners. No I/O.
+"""Load reports: a forwarder's observations of its servers, summarized for planners. No I/O.
 
 A report is the body of one message, however many servers there are. If not all fit, half of the space goes to
 the servers that deviate most, and the rest to those whose last report is oldest. Observations of the others
@@ -22,20 +22,20 @@
 from cometdoor.planning.sealed_messages import MAX_BODY_BYTES
 
 REPORT_INTERVAL_MS = 500.0  # within two of these some forwarder has calls pending at an unresponsive server
-REPORT_JITTER_SHARE = 0.2  # of the interval, to either side: planners get an even stream
+REPORT_JITTER_SHARE = 0.2  # of the interval, to either side; spreads the reports that planners get
 SERVER_ID_BYTES = 6  # of a hash: 10,000 servers have a collision in one of five million fleets
 LATENCY_STEPS_PER_DOUBLING = 8  # resolution of latencies in reports
-# A call that is cancelled counts against its server if it took this many doublings of the usual latency. As a
-# rule its hedge was answered first, so that calls to an unresponsive server rarely time out: over sockets,
-# with 90 requests a second at each of five proxies, no planner found it while these calls were not reported.
+# A cancelled call counts against its server if it exceeded the usual latency by this many doublings. As a
+# rule its hedge was answered first, so that calls to an unresponsive server rarely time out. If such calls
+# are not reported, no planner finds the server (over sockets, with 90 requests/s at each of five proxies).
 LATE_CANCEL_DOUBLINGS = 1.0
-# The same for a call that is still pending. Of exponentially distributed times, whose mean is 1.8 times their
-# geometric mean, one in ninety is longer.
+# The same threshold for a call that is still pending. Of exponentially distributed times, whose mean is 1.8
+# times their geometric mean, one in ninety is longer.
 LATE_CALL_DOUBLINGS = 3.0
-BASELINE_CALLS = 50.0  # over which the usual latency is averaged
+BASELINE_CALLS = 50.0  # number of calls over which the usual latency is averaged
 MAX_SENDS_PER_REPORT = 1_000_000  # a hundred times what one core forwards in an interval
 MAX_COUNT = 127  # the most that one byte of msgpack holds; larger counts are capped
-DEVIATING_SHARE = 0.5  # of a report's space
+DEVIATING_SHARE = 0.5  # of a report's space, for the servers that deviate most
 
 
 class FailureKind(IntEnum):
@@ -45,7 +45,7 @@
     CONNECTION_LOST = 1  # or the server reported an error: the call may have been executed
     TIMED_OUT = 2
     REJECTED = 3
-    CANCELLED_LATE = 4  # when most calls would have been answered; as a rule its hedge was
+    CANCELLED_LATE = 4  # after most calls would have been answered; as a rule its hedge was
 
 
 FAILURE_KINDS_BY_OUTCOME = {
@@ -87,7 +87,7 @@
 
 
 class InvalidReportError(CometdoorError):
-    """A message's body is no report, or has values out of range."""
+    """A message's body is not a valid report, or has values out of range."""
 
 
 _ENCODER = msgspec.msgpack.Encoder()
@@ -101,12 +101,14 @@
     except msgspec.DecodeError as problem:
         raise InvalidReportError(str(problem)) from problem
     if min(report.sequence_number, report.sends, report.warm_rate, report.servers) < 0:
-        raise InvalidReportError("a count below 0")
+        raise InvalidReportError("a count of the report is below 0")
     if report.sends > MAX_SENDS_PER_REPORT:
-        raise InvalidReportError(f"{report.sends} attempts in one interval")
+        raise InvalidReportError(
+            f"{report.sends} attempts in one interval are more than a forwarder can send"
+        )
     for entry in report.entries:
         if len(entry.server) != SERVER_ID_BYTES:
-            raise InvalidReportError(f"a server's id of {len(entry.server)} bytes")
+            raise InvalidReportError(f"server id has an invalid length of {len(entry.server)} bytes")
         if (
             min(
                 entry.answered,
@@ -117,7 +119,7 @@
             )
             < 0
         ):
-            raise InvalidReportError("a count below 0")
+            raise InvalidReportError("a count of a server is below 0")
         if (
             max(
                 entry.answered,
@@ -128,7 +130,7 @@
             )
             > MAX_COUNT
         ):
-            raise InvalidReportError(f"a count above {MAX_COUNT}")
+            raise InvalidReportError(f"a count, time or latency of a server is above {MAX_COUNT}")
     return report
 
 
@@ -245,7 +247,7 @@
         report = LoadReport(self._sequence_number, sends, round(warm_rate * 1e6), len(self._observations), [])
         remaining_bytes = (
             MAX_BODY_BYTES - len(_ENCODER.encode(report)) - 2
-        )  # a list of over 15 has a longer header
+        )  # more than 15 entries need a longer header
         deviating_bytes = int(remaining_bytes * DEVIATING_SHARE)
         remaining_bytes += (
             self._add_entries(deviating, chosen, report, deviating_bytes, now_ms) - deviating_bytes
--- a/cometdoor/planning/planner.py
+++ b/cometdoor/planning/planner.py
@@ -90,7 +90,7 @@
                 self._on_report(message.sender, report, now_ms)
             except InvalidReportError:
                 self.unreadable += 1
-        # A message that proves no age is answered too: by the reply's echo the forwarder's next message can.
+        # A message of unproven age is answered too: the reply's echo lets the next message prove its age.
         self._assess(now_ms)
         advice = encode_advice(self._advice, self.health_model.subset_scale(message.sender))
         sealed = self._channel.seal(MessageKind.ADVICE, message.sender, advice, now_ms)
--- a/cometdoor/planning/sealed_messages.py
+++ b/cometdoor/planning/sealed_messages.py
@@ -13,7 +13,7 @@
 
 A message proves an upper bound of its age by its echo: the echo names a message that the receiver itself sent
 at a known time, so the message was written after that. Replays, messages of former incarnations and messages
-with a long delay can't prove to be fresh.
+with a long delay can't prove that they are fresh.
 
 Incarnations are remembered for as long as any of their messages can still prove its age. Otherwise late
 messages of a former incarnation and of the present one, in turn, would each allow replays of the other.
@@ -88,7 +88,7 @@
 
 
 class MessageId(NamedTuple):
-    """Names a message of one sender to one receiver."""
+    """Identifies a message of one sender to one receiver."""
 
     incarnation: int
     number: int
@@ -104,7 +104,7 @@
     Raises
     ------
     ValueError
-        A key can't be used; the message shows none of it.
+        The keys are invalid; the error text contains no part of a key.
     """
 
     known: Mapping[int, bytes]  # by number, 0 to 255
@@ -235,9 +235,9 @@
         self._peers: dict[int, _PeerState] = {}
 
     def seal(self, kind: MessageKind, receiver: int, body: bytes, now_ms: float) -> bytes:
-        """Return a datagram for a peer; raise ValueError where the body is too long."""
+        """Return a datagram for a peer; raise ValueError if the body is too long."""
         if len(body) > MAX_BODY_BYTES:
-            raise ValueError(f"a body of {len(body)} bytes, over {MAX_BODY_BYTES}")
+            raise ValueError(f"a body of {len(body)} bytes is over the limit of {MAX_BODY_BYTES}")
         peer = self._peer(receiver, now_ms)
         peer.number += 1
         peer.sent.append((peer.number, now_ms))
@@ -251,7 +251,7 @@
         return content + _seal(self.keys.known[self.keys.current], content, receiver)
 
     def open(self, datagram: bytes, now_ms: float) -> Message | None:
-        """Return the message in a datagram; None where it is dropped, which `dropped` counts by reason."""
+        """Return the message in a datagram, or None if it is dropped; `dropped` counts these by reason."""
         if not HEADER.size + SEAL_BYTES <= len(datagram) <= MAX_MESSAGE_BYTES:
             return self._drop(DropReason.SIZE)
         version, key_number, kind, sender, incarnation, number, echo_incarnation, echo_number = (
@@ -308,7 +308,7 @@
         return peer
 
     def _sent_at(self, peer: _PeerState, incarnation: int, number: int) -> float | None:
-        """Return when the echoed message was sent; None where it was not, or too long ago."""
+        """Return when the echoed message was sent; None if it was never sent, or too long ago."""
         if incarnation != self._incarnation or not peer.sent:
             return None
         index = number - peer.sent[0][0]  # numbers are consecutive
--- a/cometdoor/planning/serve.py
+++ b/cometdoor/planning/serve.py
@@ -67,7 +67,7 @@
         self.stream_transports: dict[asyncio.Transport, None] = {}
 
     async def start(self) -> None:
-        """Listen; raise OSError where that fails."""
+        """Listen for messages; raise OSError if that fails."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _StreamProtocol(self), *self.address)
         self.address = self._server.sockets[0].getsockname()[:2]
@@ -90,7 +90,7 @@
         try:
             messages = self.planner.on_datagram(datagram, now_ms())
         except Exception:
-            # One message that raises must not end the service: it counts as lost.
+            # An error in one message must not stop the service; the message counts as lost.
             log.exception("service %s: handling of a message failed", self.entry.service)
             return
         for _, message in messages:
@@ -165,7 +165,7 @@
         self._status_server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; raise OSError where that fails."""
+        """Listen for messages and status requests; raise OSError if that fails."""
         for fleet in self.fleets:
             await fleet.start()
         if self._file.planner.status is not None:
@@ -192,23 +192,27 @@
         )
 
     def reload_keys(self) -> None:
-        """Reload the keys; a file with problems changes nothing. Handler of SIGHUP."""
+        """Reload the keys; an invalid file changes nothing. Handler of SIGHUP."""
         try:
             file, keys = load_planners(self._path)
         except SettingsError as problem:
             for item in problem.problems:
                 log.error("invalid settings: %s", item)
-            log.error("%d problems: the keys stay as they were", len(problem.problems))
+            log.error("%d problems; the current keys stay in use", len(problem.problems))
             return
         for fleet in self.fleets:
             fleet.channel.keys = keys
         if msgspec.structs.replace(file, keys=self._file.keys) != self._file:
-            log.warning("more than the keys has changed: the rest is used only after a restart")
-        log.info("keys %s are known, %d seals", ", ".join(map(str, sorted(keys.known))), keys.current)
+            log.warning("settings other than the keys have changed; they take effect only after a restart")
+        log.info(
+            "keys %s are accepted; new messages are sealed with key %d",
+            ", ".join(map(str, sorted(keys.known))),
+            keys.current,
+        )
 
 
 async def serve(path: Path, file: PlannersFile, keys: KeyRing) -> None:
-    """Serve until SIGTERM or SIGINT; raise OSError where it can't listen."""
+    """Serve until SIGTERM or SIGINT; raise OSError if it can't listen."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -217,9 +221,9 @@
     loop.add_signal_handler(signal.SIGHUP, planner_server.reload_keys)
     await planner_server.start()
     if planner_server.status_address is not None:
-        log.info("status on %s:%d", *planner_server.status_address)
+        log.info("serving the status page on %s:%d", *planner_server.status_address)
     log.info(
-        "planner %d of %d hears %s",
+        "planner %d of %d listens for %s",
         file.planner.number,
         file.planner.planners,
         ", ".join(
--- a/cometdoor/planning/settings.py
+++ b/cometdoor/planning/settings.py
@@ -41,9 +41,9 @@
 class PlannerEntry(Struct, frozen=True, kw_only=True):
     """Which of the configured planners this process is."""
 
-    number: Annotated[int, Meta(ge=0, lt=MAX_PLANNERS)]  # of this one, from 0
+    number: Annotated[int, Meta(ge=0, lt=MAX_PLANNERS)]  # of this planner, from 0
     planners: Annotated[int, Meta(ge=1, le=MAX_PLANNERS)]  # number of planners configured, alive or not
-    status: str | None = None  # HOST:PORT of the status page; left out: none
+    status: str | None = None  # HOST:PORT of the status page; no status page if left out
 
 
 class FleetSlowStartEntry(SlowStartEntry, frozen=True, kw_only=True):
@@ -60,7 +60,7 @@
     service: Name
     listen: str  # HOST:PORT, for datagrams and streams
     forwarders: Annotated[int, Meta(ge=1, le=MAX_PEERS)]  # how many; higher numbers are unknown senders
-    # left out: nothing is leased
+    # if left out, nothing is leased
     slow_start: FleetSlowStartEntry | None = field(default=None, name="cold")
 
 
@@ -137,7 +137,7 @@
     raw = read_bytes(path)
     try:
         key = bytes.fromhex(raw.decode("ascii"))
-    except ValueError:  # UnicodeDecodeError is one
+    except ValueError:  # includes UnicodeDecodeError
         raise SettingsError([SettingsProblem(str(path), "", "not of hexadecimal digits alone")]) from None
     if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
         raise SettingsError(
--- a/cometdoor/planning/status.py
+++ b/cometdoor/planning/status.py
@@ -104,7 +104,7 @@
 def _render_fleet(fleet: FleetStatus, names: Mapping[str, str]) -> list[str]:
     lines = [
         f"service {fleet.service}: {len(fleet.forwarders)} forwarders report on "
-        f"{fleet.servers} servers, {fleet.message_bytes_per_s:.0f} bytes of notes a second"
+        f"{fleet.servers} servers, {fleet.message_bytes_per_s:.0f} bytes of messages a second"
     ]
     longest_unreported_first = sorted(fleet.forwarders, key=lambda entry: -entry.last_report_ms_ago)
     lines += _table(
@@ -120,7 +120,7 @@
         ],
     )
     lines += _table(
-        ("held to be sick", "as", "keeps", "say so"),
+        ("unhealthy server", "state", "weight share", "observers agreeing"),
         [
             (
                 names.get(entry.server, entry.server),
@@ -130,14 +130,14 @@
             )
             for entry in fleet.unhealthy
         ],
-    ) or ["  no server is held to be sick"]
+    ) or ["  no unhealthy servers"]
     lines += _table(
-        ("lent to", "sends"),
+        ("leased to", "attempts"),
         [(names.get(entry.server, entry.server), str(entry.sends)) for entry in fleet.leased_sends],
     )
     if fleet.dropped or fleet.unreadable:
         counts = _counts(fleet.dropped, fleet.unreadable)
-        lines.append("  notes not taken: " + ", ".join(f"{reason} {count}" for reason, count in counts))
+        lines.append("  dropped messages: " + ", ".join(f"{reason} {count}" for reason, count in counts))
     return lines
 
 
--- a/cometdoor/planning/transport.py
+++ b/cometdoor/planning/transport.py
@@ -1,8 +1,8 @@
 """A forwarder's transport: the reporting timer, and datagrams or streams to its planners.
 
 Failures of planners and connections do not affect requests: a message that can't be sent is dropped, and the
-next report has what was observed since. Messages are received by asyncio protocols with
-callbacks: each is handled in one step, without a task.
+next report has what was observed since. Messages are received by asyncio protocols with callbacks: each is
+handled in one step, without a task.
 """
 
 from __future__ import annotations
--- a/simulation/planning.py
+++ b/simulation/planning.py
@@ -1,4 +1,4 @@
-"""A fleet of forwarders and planners in virtual time: the modules in service, drawn from one seed.
+"""A fleet of forwarders and planners in virtual time, with the production modules, drawn from one seed.
 
 Each forwarder is a host (`cometdoor/host/balancer_host.py`) with its balancer and
 `cometdoor/planning/forwarder.py`, with a clock and a delayed list of its own; planners are
@@ -52,12 +52,12 @@
 
 SLOTS = 2  # concurrent requests of a server
 SETTLE_MS = 5000.0  # time after the last request within which all must end
-SEND_COUNT_BIN_MS = 250.0  # in which sends are counted
+SEND_COUNT_BIN_MS = 250.0  # width of the bins in which sends are counted
 
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How many parties a fleet has, and its load."""
+    """Numbers of processes in a fleet, and its load."""
 
     forwarders: int = 16
     planners: int = 3
@@ -257,7 +257,7 @@
         if self.request_log.overload_crashes:
             server, at = self.request_log.overload_crashes[0]
             raise InvariantError(
-                f"{server} was overloaded at {at:.3f}: {self.slow_start_peak():.2f} of its budget"
+                f"{server} was overloaded at {at:.3f} s: it got {self.slow_start_peak():.2f} of its budget"
             )
 
     def slow_start_peak(self) -> float:
@@ -277,7 +277,7 @@
 
 
 def draw_fleet(seed: int, case: str | None = None) -> SimulatedFleet:
-    """Draw a fleet: its case, size and load; small, so that thousands can be played."""
+    """Draw a fleet: its case, size and load; small, so that thousands can be run."""
     random = Random(seed)
     names = [*CASES]
     return SimulatedFleet(
@@ -297,7 +297,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What one schedule showed. `broken`: the first invariants and rules that did not hold."""
+    """Outcome of one schedule. `broken`: the first invariants and rules that did not hold."""
 
     seed: int
     case: str
@@ -310,7 +310,7 @@
 
 
 def run_schedule(fleet: SimulatedFleet) -> Result:
-    """Play a fleet and sum it up."""
+    """Run a fleet and summarize its outcome."""
     try:
         broken = tuple(f"rule {violation.rule}: {violation.text}" for violation in fleet.play()[:3])
     except InvariantError as problem:
@@ -328,12 +328,12 @@
 
 
 def play(seed: int, case: str | None = None) -> Result:
-    """Play the fleet of a seed; `case`: in place of the drawn one."""
+    """Run the fleet of a seed; `case` replaces the drawn one."""
     return run_schedule(draw_fleet(seed, case))
 
 
 def main(first: int = 1, count: int = 100, case: str | None = None) -> int:
-    """Play schedules and print those that fail; 1 if any does."""
+    """Run schedules and print those that fail; return 1 if any does."""
     peak = 0.0
 
     def schedules() -> Iterator[tuple[str, tuple[str, ...]]]:
@@ -344,7 +344,7 @@
             yield f"seed {seed}, {result.case}", result.broken
 
     failed = print_failures(schedules())
-    print(f"{count} schedules, {failed} failed; a cold server got {peak:.2f} of its budget at most")
+    print(f"{count} schedules, {failed} failed; a starting server got at most {peak:.2f} of its budget")
     return min(failed, 1)
 
 
--- a/simulation/planning_cases.py
+++ b/simulation/planning_cases.py
@@ -1,6 +1,6 @@
 """Cases of `simulation.planning`: faults of planners, their messages and the servers.
 
-The seed of a schedule includes the name of its case, so a renamed case plays other schedules.
+The seed of a schedule includes the name of its case, so a renamed case runs other schedules.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def usual(fleet: SimulatedFleet) -> None:
-    """Freeze one server, restart one, drain one and replace one, beside the case's own faults."""
+    """Freeze one server, restart one, drain one and replace one, in addition to the case's own faults."""
     frozen, *others = fleet.random.sample([*fleet.servers], 4)
     fleet.at(0.3, lambda: fleet.freeze(frozen))
     for name, inject_fault in zip(others, (fleet.restart, fleet.drain, fleet.replace), strict=True):
@@ -94,7 +94,7 @@
 
 
 def _leave_only_starting_servers(fleet: SimulatedFleet) -> None:
-    """Drain all but a quarter that has just started: it bears a third of its load and gets all requests."""
+    """Drain all but a quarter, which has just started, bears a third of its load and gets all requests."""
     names = fleet.random.sample([*fleet.servers], fleet.size.servers)
     for position, name in enumerate(names):
         is_left = position < max(fleet.size.servers // 4, 1)
--- a/simulation/planning_network.py
+++ b/simulation/planning_network.py
@@ -91,7 +91,7 @@
                 )
 
     def deliver(self, number: int, datagram: bytes) -> None:
-        """Hand a forwarder's message to a planner, and its replies to the network."""
+        """Pass a forwarder's message to a planner, and the replies to the network."""
         if number in self._paused:
             self._paused[number].append(partial(self.deliver, number, datagram))
         elif number in self.running:
--- a/simulation/planning_parties.py
+++ b/simulation/planning_parties.py
@@ -1,4 +1,4 @@
-"""Forwarders and planners of `simulation.planning`: the modules in service with clocks of their own."""
+"""Forwarders and planners of `simulation.planning`: the production modules, each with its own clock."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class SkewedClock:
-    """A `cometdoor.host.clock.Clock` with an offset: readings of two parties can't be compared."""
+    """A `cometdoor.host.clock.Clock` with an offset: readings of two processes can't be compared."""
 
     def __init__(self, clock: VirtualClock, offset_ms: float) -> None:
         self._clock = clock
@@ -144,11 +144,11 @@
         fleet.clock.after(next_report_delay_ms(fleet.random), self.send_reports)
 
     def receive(self, datagram: bytes) -> None:
-        """Take a planner's message."""
+        """Handle a planner's message."""
         self.apply_events(self.forwarder.on_datagram(datagram, self.clock.now_ms()))
 
     def apply_events(self, events: Iterable[api.AdviceReceived | api.SlowStartLeaseGranted]) -> None:
-        """Hand planners' advice and leases to the host."""
+        """Pass planners' advice and leases to the host."""
         for event in events:
             if isinstance(event, api.AdviceReceived):
                 self.fleet.record_advice(event)
@@ -158,7 +158,7 @@
 
 
 class ContraryPlanner(Planner):
-    """A faulty planner: rates unhealthy servers well, and two fifths of the others as unresponsive."""
+    """A faulty planner: finds unhealthy servers healthy, and two fifths of the others unresponsive."""
 
     def _assess(self, now_ms: float) -> None:
         previous = self._assessed_ms
@@ -172,7 +172,7 @@
 
 
 def garbage_report(random: Random, servers: Iterable[str]) -> bytes:
-    """Return a well-formed load report without any sense, about these servers and an unknown one."""
+    """Return a well-formed load report with random values, about these servers and an unknown one."""
     names = [*map(server_id, servers), random.randbytes(SERVER_ID_BYTES)]
     entries = [
         ServerReport(
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -144,7 +144,7 @@
 class PlannerProcess(ProxyProcess):
     """`python -m cometdoor planner FILE`."""
 
-    COMMAND, READY_TEXT = "planner", " hears "
+    COMMAND, READY_TEXT = "planner", " listens for "
 
 
 def services_file(
--- a/tests/planning/test_advice.py
+++ b/tests/planning/test_advice.py
@@ -71,7 +71,7 @@
     combiner.receive(0, advice_against(3, 4), 0.0, 0.0)
     combiner.receive(1, advice_against(3, weight_share=50), 0.0, 0.0)
     assert combiner.compute_weight_shares(SERVERS, 0.0) == {SERVERS[3]: 0.5}
-    # A planner that named only some has no opinion of the others.
+    # Incomplete advice says nothing about servers that it does not name.
     combiner.receive(1, advice_against(3, is_complete=False), 0.0, 1.0)
     assert combiner.compute_weight_shares(SERVERS, 1.0) == {SERVERS[3]: 0.02, SERVERS[4]: 0.02}
 
@@ -87,7 +87,7 @@
 def test_weight_is_reduced_immediately_and_restored_gradually() -> None:
     combiner = AdviceCombiner()
     weight_shares = []
-    for step in range(20):  # a planner that changes its mind with every beat
+    for step in range(20):  # a planner whose advice changes with each message
         combiner.receive(0, advice_against(3) if step % 2 == 0 else advice_against(), 0.0, 500.0 * step)
         weight_shares.append(combiner.compute_weight_shares(SERVERS, 500.0 * step).get(SERVERS[3], 1.0))
     assert max(weight_shares) <= 0.02 * 2.0 ** (500.0 / WEIGHT_DOUBLING_MS) + 1e-9
@@ -210,7 +210,7 @@
     assert combiner.subset_scale(100.0, 1000.0) == 3.0  # changed just now
     assert combiner.subset_scale(100.0, SUBSET_SCALE_MIN_HOLD_MS) == 6.0
     combiner.receive(1, subset_advice(6.0 * SUBSET_SCALE_MIN_CHANGE - 0.5), 0.0, 30_000.0)
-    assert combiner.subset_scale(100.0, 30_000.0) == 6.0  # too little to change for
+    assert combiner.subset_scale(100.0, 30_000.0) == 6.0  # the change is too small
 
 
 def test_a_subset_scale_outlives_its_planners_for_a_time() -> None:
@@ -224,8 +224,8 @@
     combiner = AdviceCombiner()
     combiner.receive(0, subset_advice(4.0), 0.0, 0.0)
     assert decode_advice(encode_advice(make_advice({}))).subset_scale == 0
-    # An older planner's note has no such place at all.
+    # A message of an older planner lacks the field.
     combiner.receive(0, decode_advice(msgspec.msgpack.encode([True, []])), 0.0, 1000.0)
     assert combiner.subset_scale(100.0, 20_000.0) == 4.0
-    with pytest.raises(InvalidAdviceError, match="a subset scale of 3 tenths"):
+    with pytest.raises(InvalidAdviceError, match="a subset scale of 3 tenths is out of range"):
         decode_advice(msgspec.msgpack.encode(Advice(True, [], 3)))
--- a/tests/planning/test_capacity_leasing.py
+++ b/tests/planning/test_capacity_leasing.py
@@ -87,14 +87,16 @@
 
 @pytest.mark.parametrize("seed", range(200))
 def test_no_window_exceeds_the_planners_share_whatever_the_network_does(seed: int) -> None:
-    """Three planners that lend all that they can, and start anew; forwarders that use all that they get, as
-    late or as early as they like. Loans are late, lost and reordered; doubled ones are the wire's to drop."""
+    """Planners lease all that they can and restart; forwarders use all that they get, early or late.
+
+    Leases are delayed, lost and reordered, but not duplicated: `SecureChannel` drops duplicates.
+    """
     random = Random(seed)
     now, planners = 0.0, [lease_issuer() for _ in range(3)]
     forwarders = [endpoint_record() for _ in range(random.randint(1, 8))]
     in_flight: list[
         tuple[float, int, CapacityLease, float]
-    ] = []  # arrival, forwarder, loan, when its echo was sent
+    ] = []  # arrival, forwarder, lease, when its echo was sent
     sent: list[float] = []
     for _ in range(400):
         now += random.uniform(0.0, 60.0)
--- a/tests/planning/test_forwarders_and_planners.py
+++ b/tests/planning/test_forwarders_and_planners.py
@@ -22,7 +22,7 @@
 KEYS = KeyRing({1: b"k" * 32}, 1)
 RULES = SlowStartRules(slow_start_initial_share=0.3, overload_factor=3.0, overload_tolerance_ms=2000.0)
 WARM_UP_MS = 8000.0
-CALL_INTERVAL_MS = 20.0  # each forwarder sends so often
+CALL_INTERVAL_MS = 20.0  # between two calls of each forwarder
 EPOCH_MS = 1.7e12
 
 
@@ -156,14 +156,14 @@
         fleet.run(3000.0)
     fleet.live_planners.clear()
     fleet.run(15_000.0)
-    assert not any(fleet.weight_shares)  # with all of them dead each forwarder is by itself
+    assert not any(fleet.weight_shares)  # without planners there is no advice
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_leases_for_a_starting_server_stay_within_the_share_and_follow_traffic(seed: int) -> None:
     fleet = Fleet(seed, loss=0.3, mean_delay_ms=200.0)
     fleet.run(8000.0)
-    for _ in range(3):  # it starts again and again
+    for _ in range(3):  # restarts during slow start
         restarted = Endpoint("s5", started_at=fleet.clock.now_ms())
         fleet.servers[5] = restarted
         for forwarder_side in fleet.forwarders:
@@ -171,7 +171,9 @@
         fleet.run(3000.0)
     leases = [(at, event) for at, event in fleet.events if isinstance(event, api.SlowStartLeaseGranted)]
     assert leases and {event.server for _, event in leases} == {"s5"}
-    warm_rate = 12 / CALL_INTERVAL_MS / 10  # what a warm server bears; nine share it while one is cold
+    warm_rate = (
+        12 / CALL_INTERVAL_MS / 10
+    )  # of a warm server; nine share the traffic while one is in slow start
     allocation = (
         LEASED_BUDGET_SHARE * RULES.sends_per_window(warm_rate * 10 / 9) * 1.2
     )  # estimated from random traffic
@@ -185,7 +187,7 @@
     fleet.run(8000.0)
     fleet.servers[5] = Endpoint("s5", started_at=fleet.clock.now_ms())
     for forwarder_side in fleet.forwarders[:6]:
-        forwarder_side.update_servers(fleet.servers)  # the others have not heard yet
+        forwarder_side.update_servers(fleet.servers)  # the others don't have the new list yet
     fleet.run(2000.0)
     leased = [event for _, event in fleet.events if isinstance(event, api.SlowStartLeaseGranted)]
     assert leased and {event.started_at for event in leased} == {fleet.servers[5].started_at}
--- a/tests/planning/test_health_scoring.py
+++ b/tests/planning/test_health_scoring.py
@@ -267,7 +267,7 @@
 
 
 def test_no_server_is_unresponsive_where_answers_are_rare() -> None:
-    """The median server gives two in a beat: in 1.5 s this one missed five, in one second it had not."""
+    """The median server gives two answers an interval: in 1.5 s this one missed five, in 1 s it had not."""
 
     def rarely_answering(number: int, server: int, interval: int) -> ServerReport:
         if server == 3:
--- a/tests/planning/test_load_reports.py
+++ b/tests/planning/test_load_reports.py
@@ -164,10 +164,12 @@
 
 def test_calls_that_were_cancelled_late_count_against_their_server() -> None:
     load_reporter = reporter()
-    call(load_reporter, "s1", Outcome.CANCELLED, 900.0)  # nothing is known yet of how long answers take
+    call(load_reporter, "s1", Outcome.CANCELLED, 900.0)  # the usual latency is not known yet
     for _ in range(5):
         call(load_reporter, "s0", Outcome.OK, 100.0)
-    call(load_reporter, "s1", Outcome.CANCELLED, 150.0)  # a copy that came second, or a client that left
+    call(
+        load_reporter, "s1", Outcome.CANCELLED, 150.0
+    )  # an attempt that lost to its hedge, or a client that disconnected
     call(load_reporter, "s1", Outcome.CANCELLED, 250.0)
     reported = entries(decode_report(load_reporter.report(0.0, 1000.0)))
     assert reported[server_id("s1")].failures[FailureKind.CANCELLED_LATE] == 1
--- a/tests/planning/test_planning_simulation.py
+++ b/tests/planning/test_planning_simulation.py
@@ -1,6 +1,6 @@
-"""A whole fleet in virtual time: every case that planning must survive, with the modules in service.
+"""A whole fleet in virtual time: every case of faults, with the production modules.
 
-python -m benchmarks.planning_simulation      plays thousands, and some with 1,000 forwarders
+python -m benchmarks.planning_simulation      runs thousands, and some with 1,000 forwarders
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     assert [(result.seed, result.case, result.broken) for result in outcomes if result.broken] == []
     assert {result.case for result in outcomes} == set(CASES)
     assert max(result.slow_start_peak for result in outcomes) <= 1.0
-    assert sum(result.leases for result in outcomes) > 0  # and something was lent
+    assert sum(result.leases for result in outcomes) > 0  # leases were issued
     unadvised = [
         result for result in outcomes if result.case in ("planners dead from the start", "every note lost")
     ]
@@ -41,7 +41,7 @@
 def test_healthy_servers_keep_their_weight(case: str) -> None:
     with get_context("fork").Pool() as pool:
         outcomes = pool.map(partial(play, case=case), range(24), chunksize=2)
-    # 118 and some 70 names in 32 fleets each before lateness was measured against what is usual.
+    # With a limit on the age of calls alone, 118 and some 70 servers were named in 32 fleets each.
     assert sum(result.false_alarms for result in outcomes) <= 1
 
 
@@ -76,7 +76,7 @@
     assert peaks[3] < 0.75 * peaks[0]
 
 
-# --- that the simulation sees what is broken on purpose ---
+# --- the simulation detects faults that are injected into the software ---
 
 
 def count_failed_schedules(case: str, seeds: range) -> int:
--- a/tests/planning/test_sealed_messages.py
+++ b/tests/planning/test_sealed_messages.py
@@ -73,7 +73,7 @@
     accepted = [forwarder_channel.open(messages[number], 2.0) is not None for number in order]
     assert accepted == [True, True, False, True, False, True]
     assert forwarder_channel.open(messages[-1], 2.0) is not None
-    assert forwarder_channel.open(messages[1], 2.0) is None  # too far behind to be told from a repeat
+    assert forwarder_channel.open(messages[1], 2.0) is None  # below the replay window: may be a duplicate
     assert forwarder_channel.dropped == {DropReason.REPLAYED: 3}
 
 
--- a/tests/planning/test_transport.py
+++ b/tests/planning/test_transport.py
@@ -138,7 +138,7 @@
     async def test() -> None:
         fleet = await Fleet.start(5, 2, transport)
         with mock.patch.object(HttpService, "submit_event", lambda http, event: fleet.on_event(http, event)):
-            for harness in fleet.harnesses:  # their voices were made with the method as it was
+            for harness in fleet.harnesses:  # their transports hold the method as it was before the patch
                 planner_transport = harness.services.running["a"].planner_transport
                 assert planner_transport is not None
                 planner_transport._deliver = harness.services.running["a"].http.submit_event
@@ -147,7 +147,7 @@
             fleet.service.servers[2].freeze()
             await wait_until(lambda: fleet.avoided_by("a-2") == 5)
             assert not any(fleet.avoided_by(f"a-{other}") for other in (0, 1, 3, 4, 5))
-            fleet.planners[0].stop()  # the other is enough, once the dead one's good opinion has no say
+            fleet.planners[0].stop()  # the other one is enough once this one's last advice is no longer fresh
             await asyncio.sleep(2.0)
             assert fleet.avoided_by("a-2") == 5
             fleet.service.servers[2].thaw()
@@ -156,7 +156,7 @@
                     weight_shares.get("a-2", 1.0) > 0.05 for weight_shares in fleet.weight_shares.values()
                 )
             )
-            fleet.planners[1].stop()  # and without any each is by itself
+            fleet.planners[1].stop()  # without planners, requests are not affected
             await fleet.check_client_logs()
 
     run(test)
@@ -169,7 +169,7 @@
         await wait_until(lambda: fleet.forwarder_counts() == [3])
         host, port = fleet.planners[0].fleets[0].address
         fleet.planners[0].stop()
-        await asyncio.sleep(0.6)  # a beat without a planner
+        await asyncio.sleep(0.6)  # longer than a reporting interval
         fleet.planners[0] = planner(0, 1, f"{host}:{port}")
         await fleet.planners[0].start()
         await wait_until(lambda: fleet.forwarder_counts() == [3])
@@ -187,7 +187,7 @@
             KeyRing(NEW.known, 1),
             NEW,
             KeyRing({2: NEW.known[2]}, 2),
-        ):  # known, used, the old one out
+        ):  # the new key is known, then used, then the only one
             channel.keys = keys
             for harness in fleet.harnesses:
                 assert harness.services.planner_transports is not None
@@ -211,7 +211,7 @@
             reader, writer = await asyncio.open_connection(*address)
             writer.write(invalid_frame)
             if invalid_frame != encode_frame(b"\x01" * 60):
-                assert await reader.read() == b""  # closed: notes can't be told apart any more
+                assert await reader.read() == b""  # closed: messages can't be separated any more
             writer.close()
         await wait_until(lambda: fleet.forwarder_counts() == [2])
 
@@ -293,10 +293,10 @@
                 write(2)
                 for process in running:
                     process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(1.5)  # three beats under the new key
+                await asyncio.sleep(1.5)  # three reporting intervals with the new key
             render_page = await _status_page(planners, services)
-            assert "1 forwarders report on 2 servers" in render_page and "notes not taken" not in render_page
-            assert "no server is held to be sick" in render_page
+            assert "1 forwarders report on 2 servers" in render_page and "dropped messages" not in render_page
+            assert "no unhealthy servers" in render_page
         finally:
             for process in running:
                 process.terminate()
