--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -69,7 +69,7 @@
     try:
         return check_power_losses(record_replica_run(seed, DISK_FAULT_ONE_IN * (seed % 2)), seed)
     except InvariantError as broken:
-        return PowerLossReport(broken=[f"seed {seed}: {broken}"])
+        return PowerLossReport(violations=[f"seed {seed}: {broken}"])
 
 
 def schedules(seed: int) -> tuple[int, int, str]:
@@ -107,7 +107,7 @@
         snapshots_installed, acknowledged, broken = zip(*self._schedules.get(), strict=True)
         for name, what in zip(DEFECTS, found, strict=True):
             print_progress(f"{name}: {what[:100] or 'NOT FOUND'}")
-        for text in [*summed.broken[:5], *filter(None, broken)][:10]:
+        for text in [*summed.violations[:5], *filter(None, broken)][:10]:
             print_progress(f"BROKEN: {text}")
         return {
             "catch_up_s_at_1000_changes": small.seconds,
@@ -120,7 +120,7 @@
             "files_begun_in_an_hour": disk.compactions,
             "cuts_tried": summed.tried,
             "cuts_recovered": summed.recovered,
-            "cuts_broken": len(summed.broken),
+            "cuts_broken": len(summed.violations),
             "operations_refused": summed.failed_operations,
             "snapshot_schedules": self._extent.schedules,
             "snapshots_installed": summed.snapshots_installed + sum(snapshots_installed),
--- a/benchmarks/contact.py
+++ b/benchmarks/contact.py
@@ -81,7 +81,7 @@
         core = run_long_partition_schedule(seed, 3 if seed % 2 else 5, CUTS, LOST[seed % len(LOST)])
     except InvariantError as broken:
         return Resends(0, 0, str(broken))
-    return Resends(len(core.history), core.resent)
+    return Resends(len(core.history), core.resend_count)
 
 
 def planted(name: str) -> str:
@@ -147,7 +147,7 @@
         of_five = self._courses_of_five.get()
         histories, found = self._histories.get(), self._planted.get()
         violations = [text for one in partitions for text in one.violations]
-        broken = [one.broken for one in [*explored, *of_five, *walked] if one.broken]
+        broken = [one.violation for one in [*explored, *of_five, *walked] if one.violation]
         broken += [one.broken for one in histories if one.broken]
         for text in (*violations, *broken):
             print_progress(f"BROKEN: {text}")
--- a/simulation/client_sessions.py
+++ b/simulation/client_sessions.py
@@ -261,8 +261,8 @@
             )
         self.observations.observed_reads.append((state.revision, state.body))
 
-    def _check_invariants(self, led_logs: dict[int, list[Any]], before: World) -> None:
-        super()._check_invariants(led_logs, before)
+    def _check_invariants(self, leader_logs: dict[int, list[Any]], before: World) -> None:
+        super()._check_invariants(leader_logs, before)
         accepted = self._accepted_orders()
         for order in self.observations.rejected & accepted:
             self.fail(f"accepted is not rejected: order {order} is both")
--- a/simulation/crc_collisions.py
+++ b/simulation/crc_collisions.py
@@ -23,9 +23,8 @@
         return body[:start] + b"".join(letters) + body[start + PADDING_LETTERS :]
 
     original_checksum = crc32(body)
-    basis: dict[
-        int, tuple[int, int]
-    ] = {}  # by highest bit: difference of the checksum, and the letters that cause it
+    # By highest bit: the difference of the checksum, and the letters that cause it.
+    basis: dict[int, tuple[int, int]] = {}
     for letter in range(PADDING_LETTERS):
         difference, changed_letters = crc32(apply_changes(1 << letter)) ^ original_checksum, 1 << letter
         while difference and (row := basis.get(difference.bit_length())) is not None:
--- a/simulation/disk_recorder.py
+++ b/simulation/disk_recorder.py
@@ -86,26 +86,26 @@
     @contextmanager
     def recording(self) -> Iterator[None]:
         """Intercept the operations of `cometdoor.control.write_ahead_log` and `dbm.dumb`."""
-        real = {
+        original = {
             name: getattr(write_ahead_log, name)
             for name in ("sync_file", "sync_directory", "truncate_file", "remove_file")
         }
 
         def sync_file(path: Path) -> None:
-            self._perform(SyncFile(path.name), lambda: real["sync_file"](path))
+            self._perform(SyncFile(path.name), lambda: original["sync_file"](path))
 
         def sync_directory(directory: Path) -> None:
-            self._perform(SyncDirectory(), lambda: real["sync_directory"](directory))
+            self._perform(SyncDirectory(), lambda: original["sync_directory"](directory))
 
         def truncate_file(path: Path, size: int) -> None:
-            self._perform(TruncateFile(path.name, size), lambda: real["truncate_file"](path, size))
+            self._perform(TruncateFile(path.name, size), lambda: original["truncate_file"](path, size))
 
         def remove_file(path: Path) -> None:
-            self._perform(RemoveFile(path.name), lambda: real["remove_file"](path))
+            self._perform(RemoveFile(path.name), lambda: original["remove_file"](path))
 
         with ExitStack() as stack:
-            for call in (sync_file, sync_directory, truncate_file, remove_file):
-                stack.enter_context(mock.patch.object(write_ahead_log, call.__name__, call))
+            for function in (sync_file, sync_directory, truncate_file, remove_file):
+                stack.enter_context(mock.patch.object(write_ahead_log, function.__name__, function))
             stack.enter_context(mock.patch.object(dbm.dumb, "_io", SimpleNamespace(open=self._open)))
             yield
 
--- a/simulation/group_machine.py
+++ b/simulation/group_machine.py
@@ -39,10 +39,10 @@
         self.data += value + b"\0" * (-len(value) % 512)
 
     def read_durable_state(self) -> DurableState:
-        found = replay_batches(list(scan_batches(self.data)))
-        if found.is_corrupt:
+        recovered = replay_batches(list(scan_batches(self.data)))
+        if recovered.is_corrupt:
             raise InvariantError("a disk that was not harmed counts as damaged")
-        return found.durable_state
+        return recovered.durable_state
 
 
 @dataclass
--- a/simulation/group_schedules.py
+++ b/simulation/group_schedules.py
@@ -25,11 +25,11 @@
     rng = group.rng
     key = 0
     victim: int | None = None
-    until = 0.0
+    fault_ends_at = 0.0
     while group.now < seconds:
         if victim is None and rng.random() < 0.5:
             victim = group.pick_victim()
-            until = group.now + rng.uniform(0.2, 2.0)
+            fault_ends_at = group.now + rng.uniform(0.2, 2.0)
             group.inject_fault(rng.choice(FAULTS), victim)
         for _ in range(rng.randrange(4)):
             key += 1
@@ -37,7 +37,7 @@
         if rng.random() < 0.3:
             group.configure()
         group.run(rng.uniform(0.05, 0.3))
-        if victim is not None and group.now >= until:
+        if victim is not None and group.now >= fault_ends_at:
             group.restore()
             victim = None
             # A machine counts as lost for catch-up-s after its return.
--- a/simulation/isolated_replica.py
+++ b/simulation/isolated_replica.py
@@ -82,7 +82,9 @@
     )
     for call in calls:
         if call.order is not None:
-            rejected_statuses = [one.status for one in call.exchanges if one.status in REJECTED_STATUSES]
+            rejected_statuses = [
+                exchange.status for exchange in call.exchanges if exchange.status in REJECTED_STATUSES
+            ]
             if rejected_statuses and call.order.body in accepted_at:
                 violations.append(
                     f"order {call.order.revision} was taken, and refused with {rejected_statuses[0]}"
@@ -124,10 +126,10 @@
         started_at = changed_at = mesh.loop.time()
         has_transferred_leadership = False
         self._partition()
-        until = started_at + PARTITION_S + self.rng.uniform(-1.0, 1.0)
-        while (now := mesh.loop.time()) < until + RECOVERY_S:
+        heal_at = started_at + PARTITION_S + self.rng.uniform(-1.0, 1.0)
+        while (now := mesh.loop.time()) < heal_at + RECOVERY_S:
             self._record_leaders()
-            if self._is_partitioned and now >= until:
+            if self._is_partitioned and now >= heal_at:
                 self._heal()
                 requests.add(asyncio.create_task(self._measure_convergence(now)))
             elif not has_transferred_leadership and now >= started_at + PARTITION_S / 2:
--- a/simulation/linearizability.py
+++ b/simulation/linearizability.py
@@ -57,7 +57,8 @@
     base: int = -1
     revision: int = -1
     ended_at: float = math.inf
-    answer: int | None = None  # a read: the revision; a replacement: 1 accepted, 0 rejected; None: not known
+    # Of a read: the revision. Of a replacement: 1 accepted, 0 rejected. None: the result is unknown.
+    response: int | None = None
     tag: int = 0  # of the version that was sent or read
 
     @property
@@ -67,43 +68,48 @@
     def apply_to(self, accepted: RegisterState) -> RegisterState | None:
         """Return the register after this call; None if the call can't have its response at this point."""
         if self.is_read:
-            return accepted if accepted[-1] == Version(self.answer or 0, self.tag) else None
+            return accepted if accepted[-1] == Version(self.response or 0, self.tag) else None
         version = Version(self.revision, self.tag)
         if version in accepted:
-            return accepted if self.answer != 0 else None
-        fits = self.base == accepted[-1].revision and self.revision > accepted[-1].revision
-        if self.answer is not None and fits != bool(self.answer):
+            return accepted if self.response != 0 else None
+        is_acceptable = self.base == accepted[-1].revision and self.revision > accepted[-1].revision
+        if self.response is not None and is_acceptable != bool(self.response):
             return None
-        return (*accepted, version) if fits else accepted
+        return (*accepted, version) if is_acceptable else accepted
 
 
 def is_linearizable(history: Sequence[Operation], first: int = 0) -> bool:
     """Tell whether a register that begins with revision `first` may have produced the history."""
     # A read without response says nothing.
     calls = sorted(
-        (one for one in history if not one.is_read or one.answer is not None), key=lambda one: one.started_at
+        (call for call in history if not call.is_read or call.response is not None),
+        key=lambda call: call.started_at,
     )
-    answered_count = sum(one.answer is not None for one in calls)
+    total_response_count = sum(call.response is not None for call in calls)
     visited: set[tuple[int, RegisterState]] = set()  # calls done so far, as bits, and the register
     start: RegisterState = (Version(first),)
     stack = [(0, start, 0)]
     while stack:
-        completed_mask, accepted, answered = stack.pop()
-        if answered == answered_count:
+        completed_mask, accepted, response_count = stack.pop()
+        if response_count == total_response_count:
             return True
         if (completed_mask, accepted) in visited:
             continue
         visited.add((completed_mask, accepted))
         # Any remaining call may be next if it began before the first of the remaining calls ended.
         horizon = min(
-            one.ended_at for position, one in enumerate(calls) if not completed_mask >> position & 1
+            call.ended_at for call_index, call in enumerate(calls) if not completed_mask >> call_index & 1
         )
-        for position, one in enumerate(calls):
-            if one.started_at > horizon:
+        for call_index, call in enumerate(calls):
+            if call.started_at > horizon:
                 break
-            if not completed_mask >> position & 1 and (next_state := one.apply_to(accepted)) is not None:
+            if not completed_mask >> call_index & 1 and (next_state := call.apply_to(accepted)) is not None:
                 stack.append(
-                    (completed_mask | 1 << position, next_state, answered + (one.answer is not None))
+                    (
+                        completed_mask | 1 << call_index,
+                        next_state,
+                        response_count + (call.response is not None),
+                    )
                 )
     return False
 
@@ -114,8 +120,8 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.operation: Operation | None = None
-        self.order: ConfigurationChange | None = None  # change that it sends until a final response
-        self.known_revision = 0  # the revision that it saw last
+        self.change: ConfigurationChange | None = None  # change that it sends until a final response
+        self.last_seen_revision = 0  # the revision that it saw last
         self.member_index = 0  # the member that it sent to; -1: none accepted the change
         self.requested_at = 0.0  # when it sent last
         self.round = 0  # read round of its read
@@ -126,7 +132,7 @@
     """A replica group with clients whose calls are logged."""
 
     def __init__(
-        self, seed: int, machines: int = 3, confirms_reads: bool = True, answer_loss_share: float = 0.0
+        self, seed: int, machines: int = 3, confirms_reads: bool = True, response_loss_share: float = 0.0
     ) -> None:
         """Set up the group and its clients.
 
@@ -135,10 +141,10 @@
         """
         self.history: list[Operation] = []
         self.clients = [Client(number) for number in range(CLIENT_COUNT)]
-        self.resent = 0
-        self.resent_rejected = 0  # resends that were rejected after the change had been accepted
-        self.answer_loss_share = answer_loss_share
-        self._give_up_s = RESEND_GIVE_UP_S if answer_loss_share else CLIENT_TIMEOUT_S
+        self.resend_count = 0
+        self.rejected_resend_count = 0  # resends that were rejected after the change had been accepted
+        self.response_loss_share = response_loss_share
+        self._give_up_s = RESEND_GIVE_UP_S if response_loss_share else CLIENT_TIMEOUT_S
         self.frozen: set[int] = set()
         # Bodies that were acknowledged, whether the response arrived or not.
         self._acknowledged_bodies: set[bytes] = set()
@@ -174,8 +180,8 @@
     def _step(self) -> None:
         # Messages to a frozen member wait until it is thawed.
         self._in_flight = [
-            (self.now + 2 * self.step_s if one[3] in self.frozen else one[0], *one[1:])
-            for one in self._in_flight
+            (self.now + 2 * self.step_s if delivery[3] in self.frozen else delivery[0], *delivery[1:])
+            for delivery in self._in_flight
         ]
         super()._step()
         for client in self.clients:
@@ -223,7 +229,7 @@
         if self.rng.random() < 0.5:
             self._start_read(client)
         else:
-            self._start_order(client)
+            self._start_replacement(client)
 
     def _start_read(self, client: Client) -> None:
         machine_index = self._pick_leader() if self._confirms_reads else self._pick_running()
@@ -240,30 +246,32 @@
         client.operation = Operation(self.now)
         self.history.append(client.operation)
 
-    def _start_order(self, client: Client) -> None:
-        order = client.order
-        if order is None or self.rng.random() >= RESEND_SHARE:
-            self._last_revision = max(self._last_revision, client.known_revision) + (
+    def _start_replacement(self, client: Client) -> None:
+        change = client.change
+        if change is None or self.rng.random() >= RESEND_SHARE:
+            self._last_revision = max(self._last_revision, client.last_seen_revision) + (
                 self.rng.random() >= SAME_REVISION_SHARE
             )
-            revision = max(self._last_revision, client.known_revision + 1)
-            order = ConfigurationChange(client.known_revision, revision, b"%d/%d" % (revision, client.number))
-        client.order = order
-        self._last_client_by_body[order.body] = client
-        client.operation = Operation(self.now, order.base_revision, order.revision, tag=client.number)
+            revision = max(self._last_revision, client.last_seen_revision + 1)
+            change = ConfigurationChange(
+                client.last_seen_revision, revision, b"%d/%d" % (revision, client.number)
+            )
+        client.change = change
+        self._last_client_by_body[change.body] = client
+        client.operation = Operation(self.now, change.base_revision, change.revision, tag=client.number)
         self.history.append(client.operation)
         self._send(client)
 
     def _send(self, client: Client) -> None:
         """Propose the client's change to a member that accepts it; others reject it at once."""
-        assert client.order is not None
+        assert client.change is not None
         machine_index = self._pick_leader()
         client.requested_at = self.now
         client.member_index = -1 if machine_index is None else machine_index
-        if machine_index is not None and not self.propose(client.order, machine_index):
+        if machine_index is not None and not self.propose(client.change, machine_index):
             client.member_index = -1
-        if client.member_index >= 0 and client.order.body in self._acknowledged_bodies:
-            self.resent += 1
+        if client.member_index >= 0 and client.change.body in self._acknowledged_bodies:
+            self.resend_count += 1
 
     def _check_read(self, client: Client) -> None:
         machine = self.machines[client.member_index]
@@ -271,15 +279,15 @@
         if replica is None or machine.incarnation != client.incarnation or client.member_index in self.frozen:
             return
         if not self._confirms_reads or replica.is_read_round_confirmed(client.round):
-            client.known_revision = machine.state.revision
+            client.last_seen_revision = machine.state.revision
             if client.operation is not None and machine.state.revision:
                 client.operation.tag = int(machine.state.body.rpartition(b"/")[2])
             self._complete(client, machine.state.revision)
 
-    def _complete(self, client: Client, answer: int | None) -> None:
+    def _complete(self, client: Client, response: int | None) -> None:
         assert client.operation is not None
-        if answer is not None:
-            client.operation.ended_at, client.operation.answer = self.now, answer
+        if response is not None:
+            client.operation.ended_at, client.operation.response = self.now, response
         client.operation = None
 
     def _on_applied(self, index: int, change: Change, result: ApplyResult) -> None:
@@ -289,16 +297,16 @@
         if result.accepted:
             self._acknowledged_bodies.add(change.body)
         elif change.body in self._acknowledged_bodies:
-            self.resent_rejected += 1
+            self.rejected_resend_count += 1
         client = self._last_client_by_body.get(change.body)
         if client is None or client.operation is None or client.operation.is_read:
             return
         if (
-            client.order is not None
-            and client.order.body == change.body
-            and self.rng.random() >= self.answer_loss_share
+            client.change is not None
+            and client.change.body == change.body
+            and self.rng.random() >= self.response_loss_share
         ):
-            client.known_revision = result.revision
+            client.last_seen_revision = result.revision
             self._complete(client, int(result.accepted))
 
 
@@ -325,14 +333,14 @@
 
 
 def run_long_partition_schedule(
-    seed: int, machines: int = 3, partitions: int = 3, answer_loss_share: float = 0.8
+    seed: int, machines: int = 3, partitions: int = 3, response_loss_share: float = 0.8
 ) -> ObservedGroup:
     """Play partitions of some twenty seconds, of one member after the other, while most responses are lost.
 
     Partitions are in both directions or one, or the member is frozen; a member that returns needs a snapshot.
     Raises InvariantError if the history of the clients is not linearizable.
     """
-    group = ObservedGroup(seed, machines, answer_loss_share=answer_loss_share)
+    group = ObservedGroup(seed, machines, response_loss_share=response_loss_share)
     group.compact_after_entries = COMPACT_AFTER_ENTRIES
     rng = group.rng
     with small_chunks():
@@ -346,9 +354,9 @@
 
 
 def _verify(group: ObservedGroup) -> ObservedGroup:
-    if group.resent_rejected:
+    if group.rejected_resend_count:
         raise InvariantError(
-            f"seed {group.seed}: {group.resent_rejected} orders that were taken were refused"
+            f"seed {group.seed}: {group.rejected_resend_count} orders that were taken were refused"
         )
     if not is_linearizable(group.history):
         raise InvariantError(f"seed {group.seed}: {len(group.history)} calls are no history of one register")
--- a/simulation/long_run.py
+++ b/simulation/long_run.py
@@ -68,10 +68,10 @@
 
     def active_fault(self) -> DiskFault | None:
         elapsed_s = self.time() - self._started_at
-        for one in DISK_FAULTS:
-            starts_at = one.starts_at_share * self._seconds
-            if starts_at <= elapsed_s < starts_at + min(one.duration_s, self._seconds / 10):
-                return one
+        for fault in DISK_FAULTS:
+            starts_at = fault.starts_at_share * self._seconds
+            if starts_at <= elapsed_s < starts_at + min(fault.duration_s, self._seconds / 10):
+                return fault
         return None
 
     def run_in_executor(  # type: ignore[override]
@@ -87,7 +87,7 @@
             if active_fault.write_s == SLOW_WRITE_S
             else self._remaining_fault_s(active_fault)
         )
-        done.add_done_callback(lambda one: self.call_later(remaining_s, _copy_outcome, one, future))
+        done.add_done_callback(lambda finished: self.call_later(remaining_s, _copy_outcome, finished, future))
         return future
 
     def _remaining_fault_s(self, active_fault: DiskFault) -> float:
@@ -95,12 +95,12 @@
         return max(active_fault.starts_at_share * self._seconds + active_fault.duration_s - elapsed_s, 0.0)
 
 
-def _copy_outcome(done: asyncio.Future[Any], to: asyncio.Future[Any]) -> None:
+def _copy_outcome(done: asyncio.Future[Any], target: asyncio.Future[Any]) -> None:
     error = done.exception()
     if error is None:
-        to.set_result(done.result())
+        target.set_result(done.result())
     else:
-        to.set_exception(error)
+        target.set_exception(error)
 
 
 @dataclass
@@ -198,8 +198,8 @@
         self._measure()
         size = path.stat().st_size
         self.figures.written_bytes += size
-        for one in (path, path.with_suffix(".dir"), path.with_suffix(".bak")):
-            one.unlink(missing_ok=True)
+        for file in (path, path.with_suffix(".dir"), path.with_suffix(".bak")):
+            file.unlink(missing_ok=True)
         self.figures.compactions += 1
 
     def _measure(self) -> None:
@@ -210,8 +210,8 @@
 def long_run(seconds: float = HOUR_S) -> LongRunFigures:
     with TemporaryDirectory(prefix="cometdoor-simulation-") as name, ExitStack() as stack:
         run = LongRun(Path(name), seconds)
-        for call in (run.sync_file, run.remove_file):
-            stack.enter_context(mock.patch.object(write_ahead_log, call.__name__, call))
+        for function in (run.sync_file, run.remove_file):
+            stack.enter_context(mock.patch.object(write_ahead_log, function.__name__, function))
         try:
             return run.run()
         finally:
--- a/simulation/membership_history.py
+++ b/simulation/membership_history.py
@@ -86,8 +86,8 @@
             raise InvariantError(f"entry {change.index} admits {joiner.id} as a voter")
         if self.join_requested_at.get(joiner.id, change.seen_at + 1.0) > change.seen_at:
             raise InvariantError(f"entry {change.index} admits {joiner.id}, which has not asked")
-        earlier = [one for one in self.changes if one.index < change.index]
-        was_member = any(member.id == joiner.id for one in earlier for member in one.members)
+        earlier = [other for other in self.changes if other.index < change.index]
+        was_member = any(member.id == joiner.id for other in earlier for member in other.members)
         if was_member and self._is_wiped(joiner.id, change.seen_at):
             raise InvariantError(f"entry {change.index} admits {joiner.id} again, whose disk is gone")
 
--- a/simulation/model_checker.py
+++ b/simulation/model_checker.py
@@ -76,10 +76,10 @@
 def distinct_first_steps(members: int) -> list[int]:
     """Return one first step of each kind that differs by more than a permutation of the nodes."""
     start = World.established(members)
-    found: dict[bytes, int] = {}
+    steps_by_key: dict[bytes, int] = {}
     for node_index, step in enumerate(start.possible_steps()):
-        found.setdefault(symmetric_key(start.apply(step)), node_index)
-    return list(found.values())
+        steps_by_key.setdefault(symmetric_key(start.apply(step)), node_index)
+    return list(steps_by_key.values())
 
 
 def random_walk(
--- a/simulation/model_invariants.py
+++ b/simulation/model_invariants.py
@@ -18,7 +18,7 @@
     from simulation.model_state import World
 
 
-def check_invariants(world: World, led_logs: dict[int, list[LogEntry]], before: World) -> None:
+def check_invariants(world: World, leader_logs: dict[int, list[LogEntry]], before: World) -> None:
     """Check a state against the one before it. Raises InvariantError.
 
     `led_logs`: the logs of those that led before the step, by node.
@@ -33,24 +33,24 @@
                 world.fail(f"term {replica.term} has two leaders")
             earlier = before.nodes[node_index].replica
             if (
-                node_index in led_logs
+                node_index in leader_logs
                 and earlier is not None
                 and earlier.term == replica.term
-                and replica.log.entries[: len(led_logs[node_index])] != led_logs[node_index]
+                and replica.log.entries[: len(leader_logs[node_index])] != leader_logs[node_index]
             ):
                 world.fail(f"leader {node_index} changed its own log")
     for node_index, replica in logs:
         for index in range(replica.log.base_index + 1, replica.committed + 1):
             entry = replica.log.entry(index)
-            world.committed_in.setdefault(index, replica.term)
+            world.committing_terms.setdefault(index, replica.term)
             if world.committed.setdefault(index, (entry.term, entry.change)) != (entry.term, entry.change):
                 world.fail(f"entry {index} was committed twice, unlike")
-        for other, another in logs[:node_index]:
-            _check_match(world, node_index, replica, other, another)
+        for other, other_replica in logs[:node_index]:
+            _check_match(world, node_index, replica, other, other_replica)
     for node_index, replica in logs:
         if replica.role is Role.LEADER:
             for index, (term, change) in world.committed.items():
-                if index <= replica.log.base_index or replica.term <= world.committed_in[index]:
+                if index <= replica.log.base_index or replica.term <= world.committing_terms[index]:
                     continue
                 if replica.log.term_at(index) != term or replica.log.entry(index).change != change:
                     world.fail(f"leader {node_index} lacks entry {index}, which was committed")
@@ -61,8 +61,8 @@
     _check_membership_changes(world, on_disk)
 
 
-def _check_match(world: World, node_index: int, one: Replica, other: int, another: Replica) -> None:
-    logs = one.log, another.log
+def _check_match(world: World, node_index: int, replica: Replica, other: int, other_replica: Replica) -> None:
+    logs = replica.log, other_replica.log
     lowest = max(log.base_index for log in logs)
     for index in range(min(log.last_index for log in logs), lowest, -1):
         if logs[0].term_at(index) == logs[1].term_at(index):
@@ -95,16 +95,16 @@
 def _check_further_losses(world: World, logs: dict[str, Log]) -> None:
     voters_for = {id: granting_voters(id, logs) for id in logs}
     majorities = {id: sum(member.voter for member in log.members) // 2 + 1 for id, log in logs.items()}
-    wipes = world.fault_tolerance - len(lost_disks(world, logs))
+    further_losses = world.fault_tolerance - len(lost_disks(world, logs))
     electable_ids: set[str] = set()
-    for missing in combinations(logs, max(wipes, 0)):
+    for missing in combinations(logs, max(further_losses, 0)):
         lost = frozenset(missing)
         electable = {
             id
             for id, granted in voters_for.items()
             if id not in lost and len(granted - lost) >= majorities[id]
         }
-        if not electable and wipes >= 0:
+        if not electable and further_losses >= 0:
             world.fail(f"without {', '.join(missing) or 'any more'} nobody can be elected")
         electable_ids |= electable
     for id in electable_ids:
@@ -128,19 +128,19 @@
                 world.fail(f"{node.id} leads term {replica.term} by {votes} of {len(voters)} voters")
         if earlier is not None and replica.committed > earlier.committed:
             term = replica.log.term_at(replica.committed)
-            holding = sum(has_entry(logs[id], replica.committed, term) for id in voters & logs.keys())
-            if holding + missing < replica.majority():
-                world.fail(f"entry {replica.committed} is committed by {holding} of {len(voters)} voters")
+            copies = sum(has_entry(logs[id], replica.committed, term) for id in voters & logs.keys())
+            if copies + missing < replica.majority():
+                world.fail(f"entry {replica.committed} is committed by {copies} of {len(voters)} voters")
 
 
 def _check_membership_changes(world: World, logs: dict[str, Log]) -> None:
     last_committed = max(world.committed, default=0)
     for id, log in logs.items():
         changes = [entry for entry in log.entries if is_membership_change(entry)]
-        for one, next_one in pairwise(changes):
-            voters = [{m.id for m in each.change.members if m.voter} for each in (one, next_one)]  # type: ignore[union-attr]
+        for first, second in pairwise(changes):
+            voters = [{m.id for m in entry.change.members if m.voter} for entry in (first, second)]  # type: ignore[union-attr]
             if len(voters[0] ^ voters[1]) > 1:
-                world.fail(f"entry {next_one.index} changes more than one voter")
+                world.fail(f"entry {second.index} changes more than one voter")
         if sum(entry.index > last_committed for entry in changes) > 1:
             world.fail(f"{id} holds a second change of members before the first is committed")
 
--- a/simulation/model_keys.py
+++ b/simulation/model_keys.py
@@ -21,7 +21,7 @@
             world.remaining.changes,
             world.remaining.crashes,
             world.remaining.wipes,
-            sorted(world.committed_in.items()),
+            sorted(world.committing_terms.items()),
         )
     ]
     for node in world.nodes:
@@ -61,30 +61,34 @@
     It is the smallest encoding over all renamings of nodes that differ only in their names.
     """
     parts = msgspec.msgpack.decode(world.key())
-    header, rest = parts[0], parts[1:]
+    header, remaining_parts = parts[0], parts[1:]
     nodes: list[Any] = []
     for node in world.nodes:
-        nodes.append(rest[: 1 if node.replica is None else 2])
-        rest = rest[len(nodes[-1]) :]
-    views = [
+        nodes.append(remaining_parts[: 1 if node.replica is None else 2])
+        remaining_parts = remaining_parts[len(nodes[-1]) :]
+    anonymous_keys = [
         msgspec.msgpack.encode(_renamed(node, {str(node_index): "me"}, "?"))
         for node_index, node in enumerate(nodes)
     ]
-    order = sorted(range(len(nodes)), key=views.__getitem__)
-    equivalent = [list(group) for _, group in groupby(order, key=views.__getitem__)]
+    order = sorted(range(len(nodes)), key=anonymous_keys.__getitem__)
+    equivalent = [list(group) for _, group in groupby(order, key=anonymous_keys.__getitem__)]
     return min(
         msgspec.msgpack.encode(
             [
                 header,
                 [
                     _renamed(
-                        nodes[node_index], {str(one): str(number) for number, one in enumerate(chosen)}, "?"
+                        nodes[node_index],
+                        {str(original): str(number) for number, original in enumerate(node_order)},
+                        "?",
                     )
-                    for node_index in chosen
+                    for node_index in node_order
                 ],
             ]
         )
-        for chosen in (list(chain(*each)) for each in product(*map(permutations, equivalent)))
+        for node_order in (
+            list(chain(*arrangement)) for arrangement in product(*map(permutations, equivalent))
+        )
     )
 
 
@@ -96,9 +100,10 @@
     if isinstance(value, str) and len(value) >= 2 and value[0] in "ma" and value[1].isdigit():
         return value[0] + names.get(value[1], other) + value[2:]
     if isinstance(value, list):
-        renamed = [_renamed(one, names, other) for one in value]
+        renamed = [_renamed(item, names, other) for item in value]
         if renamed and all(
-            isinstance(one, list) and one and isinstance(one[0], str) and one[0][0] == "m" for one in renamed
+            isinstance(item, list) and item and isinstance(item[0], str) and item[0][0] == "m"
+            for item in renamed
         ):
             renamed.sort(key=repr)
         return renamed
--- a/simulation/model_state.py
+++ b/simulation/model_state.py
@@ -84,7 +84,7 @@
     now: float = 1000.0
     steps: tuple[Step, ...] = ()
     committed: dict[int, tuple[int, Any]] = field(default_factory=dict)  # index -> term and change
-    committed_in: dict[int, int] = field(default_factory=dict)  # index -> term of the committing leader
+    committing_terms: dict[int, int] = field(default_factory=dict)  # index -> term of the committing leader
     leaders: dict[int, str] = field(default_factory=dict)  # term -> id
     proposed_count: int = 0
 
@@ -114,7 +114,7 @@
             remaining=copy(self.remaining),
             committed=dict(self.committed),
             leaders=dict(self.leaders),
-            committed_in=dict(self.committed_in),
+            committing_terms=dict(self.committing_terms),
             nodes=[
                 Node(node.id, node.disk, node.replica and node.replica.copy(), node.incarnations)
                 if node_index in touched
@@ -141,13 +141,13 @@
         world = self.clone({step.actor, *step.reached})
         world.steps = (*self.steps, step)
         world.now += STEP_INTERVAL_S
-        before = {
+        leader_logs = {
             node_index: node.replica.log.entries
             for node_index, node in enumerate(self.nodes)
             if node.replica is not None and node.replica.role is Role.LEADER
         }
         world._execute(step)
-        world._check_invariants(before, self)
+        world._check_invariants(leader_logs, self)
         return world
 
     def _execute(self, step: Step) -> None:
@@ -266,7 +266,7 @@
                         and isinstance(message, message_types)
                         and target is not None
                     ):
-                        target.receive(_through_codec(message), self.now)
+                        target.receive(_encode_and_decode(message), self.now)
                         has_delivered = True
             if not has_delivered:
                 break
@@ -285,8 +285,8 @@
             node.disk = (*node.disk, *writes)
             replica.on_written(len(writes), self.now)
 
-    def _check_invariants(self, led_logs: dict[int, list[LogEntry]], before: World) -> None:
-        check_invariants(self, led_logs, before)
+    def _check_invariants(self, leader_logs: dict[int, list[LogEntry]], before: World) -> None:
+        check_invariants(self, leader_logs, before)
 
     def lost(self) -> set[str]:
         """Return the ids whose disk is gone and that still count; see `lost_disks`."""
@@ -305,6 +305,6 @@
     return Member(node.id, f"a{node_index}", "")
 
 
-def _through_codec(message: Any) -> Any:
+def _encode_and_decode(message: Any) -> Any:
     """Return a message as its receiver decodes it: it shares nothing with the sender's."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=type(message))
--- a/simulation/planted_defects.py
+++ b/simulation/planted_defects.py
@@ -21,7 +21,7 @@
 from simulation.model_steps import FaultLimits, Step
 
 
-def _votes_before_its_disk() -> AbstractContextManager[Any]:
+def _sends_before_sync() -> AbstractContextManager[Any]:
     """Sends messages before the writes that they depend on are synced."""
 
     def send(self: Replica, address: str, message: object, after_writes: bool = False) -> None:
@@ -30,11 +30,11 @@
     return mock.patch.object(Replica, "send", send)
 
 
-def _wiped_is_the_old_one() -> AbstractContextManager[Any]:
+def _restarts_wiped_member_under_old_id() -> AbstractContextManager[Any]:
     """Restarts a machine with an empty disk under its former id, as the member that it was."""
     wipe = World._wipe
 
-    def wipe_and_keep_the_id(self: World, node_index: int) -> None:
+    def wipe_and_keep_id(self: World, node_index: int) -> None:
         id = self.nodes[node_index].id
         wipe(self, node_index)
         self.nodes[node_index].id = id
@@ -45,11 +45,11 @@
         )
         self.nodes[node_index].disk = (Identity(id), members)
 
-    return mock.patch.object(World, "_wipe", wipe_and_keep_the_id)
+    return mock.patch.object(World, "_wipe", wipe_and_keep_id)
 
 
 @contextmanager
-def _commits_an_older_terms_entry() -> Iterator[None]:
+def _commits_entry_of_earlier_term() -> Iterator[None]:
     """Commits an entry of an earlier term as soon as a majority has it (Raft, figure 8)."""
 
     def advance_commit(self: Replication) -> None:
@@ -64,7 +64,7 @@
         yield
 
 
-def _leader_counts_itself_at_once() -> AbstractContextManager[Any]:
+def _leader_counts_unsynced_entry() -> AbstractContextManager[Any]:
     """Counts the leader's own entry for a commit before it is on the leader's disk."""
 
     def advance_commit(self: Replication) -> None:
@@ -78,40 +78,40 @@
     return mock.patch.object(Replication, "advance_commit", advance_commit)
 
 
-def _match_indexes(of: Replication) -> list[int]:
+def _match_indexes(replication_state: Replication) -> list[int]:
     """Return up to which index each other voter's disk is known to match the leader's log."""
-    others = of._replica.other_voters()
-    return [of._replica.followers[member.id].match_index for member in others]
+    others = replication_state._replica.other_voters()
+    return [replication_state._replica.followers[member.id].match_index for member in others]
 
 
-def _forgets_its_vote() -> AbstractContextManager[Any]:
+def _does_not_recover_vote() -> AbstractContextManager[Any]:
     """Does not recover the vote from disk after a restart."""
     apply = DurableState.apply
 
-    def apply_all_but_the_vote(self: DurableState, write: Record) -> None:
+    def apply_without_vote(self: DurableState, write: Record) -> None:
         apply(self, HardState(write.term, "") if isinstance(write, HardState) else write)
 
-    return mock.patch.object(DurableState, "apply", apply_all_but_the_vote)
+    return mock.patch.object(DurableState, "apply", apply_without_vote)
 
 
-def _votes_for_a_shorter_log() -> AbstractContextManager[Any]:
+def _votes_for_shorter_log() -> AbstractContextManager[Any]:
     """Votes for any candidate of a newer term, however short its log."""
     on_request_vote = Elections.on_request_vote
 
-    def grant(self: Elections, message: RequestVote) -> None:
+    def grant_regardless_of_log(self: Elections, message: RequestVote) -> None:
         message.last_term, message.last_index = 1 << 30, 1 << 30
         on_request_vote(self, message)
 
-    return mock.patch.object(Elections, "on_request_vote", grant)
+    return mock.patch.object(Elections, "on_request_vote", grant_regardless_of_log)
 
 
 DEFECTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
-    "votes before its disk has the vote": _votes_before_its_disk,
-    "a wiped member counts as the old one": _wiped_is_the_old_one,
-    "commits an older term's entry by count": _commits_an_older_terms_entry,
-    "a leader counts itself before its disk": _leader_counts_itself_at_once,
-    "forgets its vote when it starts again": _forgets_its_vote,
-    "votes for a log that lacks entries": _votes_for_a_shorter_log,
+    "votes before its disk has the vote": _sends_before_sync,
+    "a wiped member counts as the old one": _restarts_wiped_member_under_old_id,
+    "commits an older term's entry by count": _commits_entry_of_earlier_term,
+    "a leader counts itself before its disk": _leader_counts_unsynced_entry,
+    "forgets its vote when it starts again": _does_not_recover_vote,
+    "votes for a log that lacks entries": _votes_for_shorter_log,
 }
 
 
@@ -159,8 +159,8 @@
             else:
                 for seed in range(RANDOM_WALK_COUNT):
                     random_walk(3, seed, 24, FaultLimits(3, 4, 1))
-        except InvariantError as broken:
-            return str(broken)
+        except InvariantError as violation:
+            return str(violation)
     return ""
 
 
--- a/simulation/planted_membership_defects.py
+++ b/simulation/planted_membership_defects.py
@@ -23,15 +23,15 @@
 LIMITS = FaultLimits(changes=3, crashes=3, wipes=3)
 
 
-def _joiner_votes_at_once() -> AbstractContextManager[Any]:
+def _adds_joiner_as_voter() -> AbstractContextManager[Any]:
     """Adds a joining node as a voter, with an empty log."""
     with_joiner = Membership._with_joiner
 
-    def as_voter(self: Membership) -> GroupConfiguration | None:
+    def with_voting_joiner(self: Membership) -> GroupConfiguration | None:
         with_joiner_voting = with_joiner(self)
         return with_joiner_voting and (*with_joiner_voting[:-1], replace(with_joiner_voting[-1], voter=True))
 
-    return mock.patch.object(Membership, "_with_joiner", as_voter)
+    return mock.patch.object(Membership, "_with_joiner", with_voting_joiner)
 
 
 def _promotes_too_early() -> AbstractContextManager[Any]:
@@ -39,15 +39,15 @@
     return mock.patch.object(Membership, "_is_caught_up", lambda self, learner: True)
 
 
-def _second_change_at_once() -> AbstractContextManager[Any]:
+def _proposes_second_change_early() -> AbstractContextManager[Any]:
     """Starts a membership change before the last one is committed."""
     tick = Membership.tick
 
-    def tick_hastily(self: Membership) -> None:
+    def tick_despite_pending_change(self: Membership) -> None:
         self._proposed_index = 0
         tick(self)
 
-    return mock.patch.object(Membership, "tick", tick_hastily)
+    return mock.patch.object(Membership, "tick", tick_despite_pending_change)
 
 
 def _removes_without_replacement() -> AbstractContextManager[Any]:
@@ -62,44 +62,44 @@
 
 
 @contextmanager
-def _learner_votes() -> Iterator[None]:
+def _counts_votes_of_learners() -> Iterator[None]:
     """Requests votes of learners and counts them."""
     start_election, count_votes = Elections.start_election, Elections.count_votes
 
-    def start_election_before_all(
+    def start_election_among_all(
         self: Elections, is_prevote: bool, is_leadership_transfer: bool = False
     ) -> None:
         with mock.patch.object(Replica, "other_voters", Replica.other_members):
             start_election(self, is_prevote, is_leadership_transfer)
 
-    def count_all(self: Elections) -> None:
+    def count_all_members(self: Elections) -> None:
         with mock.patch.object(Replica, "is_voter", Replica.is_member):
             count_votes(self)
 
     with ExitStack() as stack:
-        stack.enter_context(mock.patch.object(Elections, "start_election", start_election_before_all))
-        stack.enter_context(mock.patch.object(Elections, "count_votes", count_all))
+        stack.enter_context(mock.patch.object(Elections, "start_election", start_election_among_all))
+        stack.enter_context(mock.patch.object(Elections, "count_votes", count_all_members))
         yield
 
 
-def _learner_counts_for_commits() -> AbstractContextManager[Any]:
+def _counts_learners_for_commits() -> AbstractContextManager[Any]:
     """Counts the disks of learners for commits."""
     advance_commit = Replication.advance_commit
 
-    def count_all(self: Replication) -> None:
+    def count_all_members(self: Replication) -> None:
         with mock.patch.object(Replica, "other_voters", Replica.other_members):
             advance_commit(self)
 
-    return mock.patch.object(Replication, "advance_commit", count_all)
+    return mock.patch.object(Replication, "advance_commit", count_all_members)
 
 
 MEMBERSHIP_DEFECTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
-    "a joiner votes before it has the log": _joiner_votes_at_once,
+    "a joiner votes before it has the log": _adds_joiner_as_voter,
     "a learner is promoted before it has the log": _promotes_too_early,
-    "a second change begins before the first is committed": _second_change_at_once,
+    "a second change begins before the first is committed": _proposes_second_change_early,
     "a leaving voter is let go without a successor": _removes_without_replacement,
-    "a learner votes": _learner_votes,
-    "a learner's disk counts for a commit": _learner_counts_for_commits,
+    "a learner votes": _counts_votes_of_learners,
+    "a learner's disk counts for a commit": _counts_learners_for_commits,
 }
 
 
@@ -107,21 +107,25 @@
     return Step(action, actor, frozenset(reached), hung_disk)
 
 
-LED = [step("elect", 0, 1, 2), step("send", 0, 1, 2), step("order", 0), step("send", 0, 1, 2)]
-LED_WITH_SPARE = [step("elect", 0, 1, 2, 3), step("order", 0), step("send", 0, 1, 2, 3)]
-WIPED = [*LED, step("wipe", 2), step("start", 2)]
+LEADER_ELECTED = [step("elect", 0, 1, 2), step("send", 0, 1, 2), step("order", 0), step("send", 0, 1, 2)]
+LEADER_ELECTED_WITH_SPARE = [step("elect", 0, 1, 2, 3), step("order", 0), step("send", 0, 1, 2, 3)]
+MEMBER_WIPED = [*LEADER_ELECTED, step("wipe", 2), step("start", 2)]
 # The spare learner is promoted, and the leader has just begun to demote the unresponsive voter.
-PROMOTED = [*LED_WITH_SPARE, step("tend once", 0, 1, 3), step("send once", 0, 1, 3)]
+SPARE_PROMOTED = [*LEADER_ELECTED_WITH_SPARE, step("tend once", 0, 1, 3), step("send once", 0, 1, 3)]
 # For a defect that only one order of events reveals: that order. Random walks find the others.
 TRACES: dict[str, list[Step]] = {
-    "a learner is promoted before it has the log": [*WIPED, step("tend", 0, 1, 2, hung_disk=2)],
+    "a learner is promoted before it has the log": [*MEMBER_WIPED, step("tend", 0, 1, 2, hung_disk=2)],
     "a second change begins before the first is committed": [
-        *LED_WITH_SPARE,
+        *LEADER_ELECTED_WITH_SPARE,
         step("tend once", 0, 1, 3),
         step("tend once", 0, 3),
     ],
-    "a joiner votes before it has the log": [*WIPED, step("tend", 0, 1, 2, hung_disk=2)],
-    "a learner's disk counts for a commit": [*LED_WITH_SPARE, step("order", 0), step("send", 0, 3)],
+    "a joiner votes before it has the log": [*MEMBER_WIPED, step("tend", 0, 1, 2, hung_disk=2)],
+    "a learner's disk counts for a commit": [
+        *LEADER_ELECTED_WITH_SPARE,
+        step("order", 0),
+        step("send", 0, 3),
+    ],
 }
 
 
@@ -135,26 +139,32 @@
     def world(self) -> World:
         """Return the state at this stage. Raises InvariantError."""
         world = World.established(3, LIMITS, self.spares)
-        for one in self.trace:
-            world = world.apply(one)
+        for next_step in self.trace:
+            world = world.apply(next_step)
         return world
 
 
 STAGES: dict[str, RepairStage] = {
-    "a wiped member is back": RepairStage(WIPED),
-    "the wiped member's old id goes": RepairStage([*WIPED, step("tend once", 0, 1, 2)]),
-    "a wiped member is whole again": RepairStage([*WIPED, step("tend", 0, 1, 2)]),
-    "a spare stands by": RepairStage(LED_WITH_SPARE, 1),
-    "a spare is promoted, and nobody knows": RepairStage([*LED_WITH_SPARE, step("tend once", 0, 1, 3)], 1),
-    "the silent voter is about to be demoted": RepairStage(PROMOTED, 1),
-    "a spare has taken a silent voter's place": RepairStage([*LED_WITH_SPARE, step("tend", 0, 1, 3)], 1),
+    "a wiped member is back": RepairStage(MEMBER_WIPED),
+    "the wiped member's old id goes": RepairStage([*MEMBER_WIPED, step("tend once", 0, 1, 2)]),
+    "a wiped member is whole again": RepairStage([*MEMBER_WIPED, step("tend", 0, 1, 2)]),
+    "a spare stands by": RepairStage(LEADER_ELECTED_WITH_SPARE, 1),
+    "a spare is promoted, and nobody knows": RepairStage(
+        [*LEADER_ELECTED_WITH_SPARE, step("tend once", 0, 1, 3)], 1
+    ),
+    "the silent voter is about to be demoted": RepairStage(SPARE_PROMOTED, 1),
+    "a spare has taken a silent voter's place": RepairStage(
+        [*LEADER_ELECTED_WITH_SPARE, step("tend", 0, 1, 3)], 1
+    ),
 }
 
 
 def stage_of(defect: str) -> RepairStage:
     """Return the stage at the end of the defect's trace."""
     trace = TRACES[defect]
-    return RepairStage(trace, spares=int(trace[: len(LED_WITH_SPARE)] == LED_WITH_SPARE))
+    return RepairStage(
+        trace, spares=int(trace[: len(LEADER_ELECTED_WITH_SPARE)] == LEADER_ELECTED_WITH_SPARE)
+    )
 
 
 def explore_from(stage: str, depth: int) -> int:
@@ -179,6 +189,6 @@
             else:
                 for seed in range(RANDOM_WALK_COUNT):
                     walk_with_repairs(seed)
-        except InvariantError as broken:
-            return str(broken)
+        except InvariantError as violation:
+            return str(violation)
     return ""
--- a/simulation/planted_session_defects.py
+++ b/simulation/planted_session_defects.py
@@ -36,7 +36,7 @@
 
     def expire_proposals(self: PendingRequests[Any, Any], replica: Replica) -> list[ProposalCompleted[Any]]:
         leading_term = replica.term if replica.role is Role.LEADER else -1
-        expired = [index for index, one in self._proposals.items() if one.term != leading_term]
+        expired = [index for index, pending in self._proposals.items() if pending.term != leading_term]
         return [
             ProposalCompleted(self._proposals.pop(index).caller, ApplyResult(False, 99)) for index in expired
         ]
@@ -45,7 +45,7 @@
 
 
 @contextmanager
-def _compares_before_the_log() -> Iterator[None]:
+def _compares_base_when_submitted() -> Iterator[None]:
     """Compares a change's base when it is submitted, and applies whatever is in the log."""
 
     def submit(self: SessionWorld, node_index: int, order: int) -> None:
@@ -55,18 +55,18 @@
         else:
             self._on_order_result(order, ApplyResult(False, state.revision))
 
-    def configure(self: StateMachine, change: ConfigurationChange) -> ApplyResult:
+    def apply_without_comparison(self: StateMachine, change: ConfigurationChange) -> ApplyResult:
         self.revision, self.body = change.revision, change.body
         self._accepted.add(change.revision, change.body)
         return ApplyResult(True, self.revision)
 
     with ExitStack() as stack:
         stack.enter_context(mock.patch.object(SessionWorld, "_submit", submit))
-        stack.enter_context(mock.patch.object(StateMachine, "_apply_configuration", configure))
+        stack.enter_context(mock.patch.object(StateMachine, "_apply_configuration", apply_without_comparison))
         yield
 
 
-def _snapshot_forgets_digests() -> PlantedDefect:
+def _snapshot_omits_digests() -> PlantedDefect:
     """Leaves the digests of accepted configurations out of snapshots."""
     return mock.patch.object(
         AcceptedConfigurations, "snapshot", lambda self: AcceptedConfigurationsSnapshot([], [], 0)
@@ -80,29 +80,29 @@
     )
 
 
-def _reads_without_a_round() -> PlantedDefect:
+def _reads_without_read_round() -> PlantedDefect:
     """Answers reads at any replica that takes itself for the leader, without a read round."""
 
     def complete_reads(
         self: PendingRequests[Any, Any], replica: Replica, now: float
     ) -> list[ReadCompleted[Any]]:
         reads, self._reads = self._reads, []
-        return [ReadCompleted(one.caller, replica.role is Role.LEADER) for one in reads]
+        return [ReadCompleted(pending.caller, replica.role is Role.LEADER) for pending in reads]
 
     return mock.patch.object(PendingRequests, "complete_reads", complete_reads)
 
 
 @contextmanager
-def _answers_by_index_alone() -> Iterator[None]:
+def _matches_results_by_index_alone() -> Iterator[None]:
     """Answers a caller with the result of the entry at its index, whoever proposed that entry."""
     apply = PendingRequests.apply_committed
 
     def apply_any_term(
         self: PendingRequests[Any, Any], replica: Replica, state: StateMachine
     ) -> list[ProposalCompleted[Any]]:
-        for index, one in self._proposals.items():
+        for index, pending in self._proposals.items():
             term = replica.log.term_at(index)
-            self._proposals[index] = type(one)(one.term if term is None else term, one.caller)
+            self._proposals[index] = type(pending)(pending.term if term is None else term, pending.caller)
         return apply(self, replica, state)
 
     with ExitStack() as stack:
@@ -111,7 +111,7 @@
         yield
 
 
-def _names_a_leader_for_ever() -> PlantedDefect:
+def _redirects_to_stale_leader() -> PlantedDefect:
     """Redirects callers to the last known leader, however long ago it was last seen."""
 
     def contact_status(
@@ -133,16 +133,15 @@
 
 SESSION_DEFECTS: dict[str, Callable[[], PlantedDefect]] = {
     "a 412 from a deposed leader": _rejects_when_deposed,
-    "a comparison made before the log": _compares_before_the_log,
-    "a snapshot that forgets the digests": _snapshot_forgets_digests,
+    "a comparison made before the log": _compares_base_when_submitted,
+    "a snapshot that forgets the digests": _snapshot_omits_digests,
     "a checksum in place of the digest": _compares_by_checksum,
-    "a read without a round": _reads_without_a_round,
-    "an answer by the index alone": _answers_by_index_alone,
+    "a read without a round": _reads_without_read_round,
+    "an answer by the index alone": _matches_results_by_index_alone,
 }
-FLEET_DEFECTS: dict[
-    str, tuple[Callable[[], PlantedDefect], str, bool]
-] = {  # with the kind of partition, and whether the isolated replica leads
-    "a 307 to a leader long unheard": (_names_a_leader_for_ever, "both", False),
+# Each with the kind of partition, and whether the isolated replica leads.
+FLEET_DEFECTS: dict[str, tuple[Callable[[], PlantedDefect], str, bool]] = {
+    "a 307 to a leader long unheard": (_redirects_to_stale_leader, "both", False),
     "a 400 and a read without contact": (_rejects_without_contact, "both", True),
 }
 REPLICATE_FROM_SECOND = Step("send", 1, frozenset({2}))
@@ -191,8 +190,8 @@
 def find_violation(name: str) -> str:
     """Return the violation that the checks find in the code with the defect; empty: none."""
     if name in FLEET_DEFECTS:
-        plant, kind, is_leader = FLEET_DEFECTS[name]
-        with plant():
+        plant_defect, kind, is_leader = FLEET_DEFECTS[name]
+        with plant_defect():
             return "; ".join(run_partition(1, kind, is_leader).violations)
     with SESSION_DEFECTS[name]():
         return replay(*TRACES[name])
@@ -202,6 +201,6 @@
     """Return the violation found on this trace; empty: none."""
     try:
         state_after_opening(opening).apply_steps(*trace)
-    except InvariantError as broken:
-        return str(broken)
+    except InvariantError as violation:
+        return str(violation)
     return ""
--- a/simulation/planted_snapshot_defects.py
+++ b/simulation/planted_snapshot_defects.py
@@ -32,24 +32,24 @@
 
 
 @contextmanager
-def _installs_with_holes() -> Any:
+def _installs_incomplete_snapshot() -> Any:
     """Accepts a chunk that arrives before its predecessor, and does not check the digest."""
     on_transfer_chunk = ChunkedTransfer.on_transfer_chunk
 
-    def on_any_chunk(self: ChunkedTransfer, chunk: TransferChunk) -> None:
+    def accept_any_chunk(self: ChunkedTransfer, chunk: TransferChunk) -> None:
         transfer = self._incoming_transfer_for(chunk)
         transfer.data.extend(bytes(max(chunk.offset - len(transfer.data), 0)))
         on_transfer_chunk(self, chunk)
 
-    def read(self: ChunkedTransfer, transfer: IncomingTransfer, term: int) -> LargeMessage | None:
+    def decode_unchecked(self: ChunkedTransfer, transfer: IncomingTransfer, term: int) -> LargeMessage | None:
         try:
             return _decoder.decode(transfer.data)
         except msgspec.MsgspecError:
             return None
 
     with ExitStack() as stack:
-        stack.enter_context(mock.patch.object(ChunkedTransfer, "on_transfer_chunk", on_any_chunk))
-        stack.enter_context(mock.patch.object(ChunkedTransfer, "_decode", read))
+        stack.enter_context(mock.patch.object(ChunkedTransfer, "on_transfer_chunk", accept_any_chunk))
+        stack.enter_context(mock.patch.object(ChunkedTransfer, "_decode", decode_unchecked))
         yield
 
 
@@ -65,7 +65,7 @@
     return mock.patch.object(WriteAheadLog, "rotate", rotate)
 
 
-def _syncs_no_folder() -> AbstractContextManager[Any]:
+def _does_not_sync_directory() -> AbstractContextManager[Any]:
     """Syncs the new file but not the directory with its name."""
 
     def rotate(self: WriteAheadLog, records: Sequence[Record]) -> None:
@@ -75,26 +75,29 @@
     return mock.patch.object(WriteAheadLog, "rotate", rotate)
 
 
-def _base_is_not_the_snapshots() -> AbstractContextManager[Any]:
+def _writes_entries_after_log_base() -> AbstractContextManager[Any]:
     """Writes a snapshot with the entries after the log's base, not with those after the snapshot."""
     return mock.patch.object(Log, "entries_after_snapshot", lambda self: self.entries_after(self.base_index))
 
 
-def _compaction_forgets_the_vote() -> AbstractContextManager[Any]:
+def _compaction_drops_vote() -> AbstractContextManager[Any]:
     """Leaves the vote out of the compacted log."""
     compact = Snapshots.compact
 
-    def forget(self: Snapshots) -> list[Record]:
-        return [HardState(one.term, "") if isinstance(one, HardState) else one for one in compact(self)]
+    def compact_without_vote(self: Snapshots) -> list[Record]:
+        return [
+            HardState(record.term, "") if isinstance(record, HardState) else record
+            for record in compact(self)
+        ]
 
-    return mock.patch.object(Snapshots, "compact", forget)
+    return mock.patch.object(Snapshots, "compact", compact_without_vote)
 
 
-def _tells_of_snapshots_too_soon() -> AbstractContextManager[Any]:
+def _acknowledges_snapshots_too_early() -> AbstractContextManager[Any]:
     """Acknowledges an installed snapshot before it is on disk."""
     send_append_reply = Replica.send_append_reply
 
-    def reply_hastily(
+    def reply_before_sync(
         self: Replica, address: str, success: bool, index: int, *rest: Any, **more: Any
     ) -> None:
         is_snapshot = index == self.log.snapshot_index
@@ -102,31 +105,31 @@
             self, address, success, index, rest[0], more.get("after_writes", False) and not is_snapshot
         )
 
-    return mock.patch.object(Replica, "send_append_reply", reply_hastily)
+    return mock.patch.object(Replica, "send_append_reply", reply_before_sync)
 
 
-def _keeps_a_torn_value() -> AbstractContextManager[Any]:
+def _accepts_torn_batch() -> AbstractContextManager[Any]:
     """Reads a first value with a wrong checksum as an empty batch."""
     scan_batches = write_ahead_log.scan_batches
 
     def scan_leniently(data: bytes) -> Any:
-        found = list(scan_batches(data))
-        last_number = max((batch.number for batch in found), default=0)
-        if len(data) >= write_ahead_log.HEADER.size and not found:
-            found.append(write_ahead_log.WriteBatch(last_number + 1, last_number, [], 0))
-        return iter(found)
+        batches = list(scan_batches(data))
+        last_number = max((batch.number for batch in batches), default=0)
+        if len(data) >= write_ahead_log.HEADER.size and not batches:
+            batches.append(write_ahead_log.WriteBatch(last_number + 1, last_number, [], 0))
+        return iter(batches)
 
     return mock.patch.object(write_ahead_log, "scan_batches", scan_leniently)
 
 
 DEFECTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
-    "a snapshot is installed before all parts are there": _installs_with_holes,
+    "a snapshot is installed before all parts are there": _installs_incomplete_snapshot,
     "older files go before the new one is on disk": _removes_older_files_first,
-    "the new file's name is not synced": _syncs_no_folder,
-    "the entries' base is not the snapshot's": _base_is_not_the_snapshots,
-    "a compaction forgets the vote": _compaction_forgets_the_vote,
-    "a snapshot is told of before it is on disk": _tells_of_snapshots_too_soon,
-    "a torn new file is taken for a whole one": _keeps_a_torn_value,
+    "the new file's name is not synced": _does_not_sync_directory,
+    "the entries' base is not the snapshot's": _writes_entries_after_log_base,
+    "a compaction forgets the vote": _compaction_drops_vote,
+    "a snapshot is told of before it is on disk": _acknowledges_snapshots_too_early,
+    "a torn new file is taken for a whole one": _accepts_torn_batch,
 }
 
 
@@ -138,10 +141,10 @@
                 report = check_power_losses(
                     record_replica_run(seed, DISK_FAULT_ONE_IN * (seed % 2)), seed, stop_at_first=True
                 )
-                if report.broken:
-                    return report.broken[0]
+                if report.violations:
+                    return report.violations[0]
             for seed in range(SCHEDULE_COUNT):
                 run_snapshot_schedule(seed)
-        except InvariantError as broken:
-            return str(broken)
+        except InvariantError as violation:
+            return str(violation)
     return ""
--- a/simulation/power_loss.py
+++ b/simulation/power_loss.py
@@ -29,7 +29,7 @@
     recovered: int = 0
     snapshots_installed: int = 0  # in the recorded runs
     failed_operations: int = 0  # disk operations, in the recorded runs
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
     def add(self, other: PowerLossReport) -> None:
         """Add the counts of another run."""
@@ -37,7 +37,7 @@
         self.recovered += other.recovered
         self.snapshots_installed += other.snapshots_installed
         self.failed_operations += other.failed_operations
-        self.broken += other.broken
+        self.violations += other.violations
 
 
 def check_power_losses(run: RecordedRun, seed: int, stop_at_first: bool = False) -> PowerLossReport:
@@ -54,10 +54,10 @@
         for count in range(len(run.operations) + 1):
             for directory in power_loss_outcomes(run.operations[:count], rng):
                 report.tried += 1
-                broken = _check_directory(path, directory, run, count)
-                report.recovered += not broken
-                if broken:
-                    report.broken.append(f"seed {seed}: {broken}")
+                violation = _check_directory(path, directory, run, count)
+                report.recovered += not violation
+                if violation:
+                    report.violations.append(f"seed {seed}: {violation}")
                     if stop_at_first:
                         return report
     return report
@@ -65,11 +65,11 @@
 
 def _check_directory(path: Path, directory: FilesByName, run: RecordedRun, count: int) -> str:
     """Recover from one outcome; return what is wrong with it, or an empty text."""
-    for left in path.iterdir():
-        left.unlink()
+    for old_file in path.iterdir():
+        old_file.unlink()
     for name, content in directory.items():
         (path / name).write_bytes(content)
-    found, _ = recover_log(path)
-    if found.is_corrupt:
+    recovered, _ = recover_log(path)
+    if recovered.is_corrupt:
         return f"after {count} operations the disk counts as damaged"
-    return run.check(count, found.durable_state)
+    return run.check(count, recovered.durable_state)
--- a/simulation/power_loss_outcomes.py
+++ b/simulation/power_loss_outcomes.py
@@ -46,22 +46,24 @@
 
 def _replay(operations: Sequence[DiskOperation]) -> _DirectoryState:
     directory_state = _DirectoryState()
-    now: dict[str, _File] = {}
+    current_files: dict[str, _File] = {}
     for operation in operations:
         match operation:
             case CreateFile(name=name):
-                now[name] = _File()
-                directory_state.unsynced.append((name, now[name]))
+                current_files[name] = _File()
+                directory_state.unsynced.append((name, current_files[name]))
             case WriteBytes(name=name) | TruncateFile(name=name):
-                now[name].unsynced.append(operation)
+                current_files[name].unsynced.append(operation)
             case SyncFile(name=name):
-                now[name].synced = _apply_operations(now[name].synced, now[name].unsynced)
-                now[name].unsynced = []
+                current_files[name].synced = _apply_operations(
+                    current_files[name].synced, current_files[name].unsynced
+                )
+                current_files[name].unsynced = []
             case RemoveFile(name=name):
-                if now.pop(name, None) is not None:
+                if current_files.pop(name, None) is not None:
                     directory_state.unsynced.append((name, None))
             case SyncDirectory():
-                directory_state.durable_files, directory_state.unsynced = dict(now), []
+                directory_state.durable_files, directory_state.unsynced = dict(current_files), []
     return directory_state
 
 
@@ -94,9 +96,9 @@
 def power_loss_outcomes(operations: Sequence[DiskOperation], rng: random.Random) -> Iterator[FilesByName]:
     """Yield the directories that a loss of power after these operations may leave; some, if they are many."""
     directory_state = _replay(operations)
-    for survives in islice(product((True, False), repeat=len(directory_state.unsynced)), MAX_OUTCOMES):
+    for survivals in islice(product((True, False), repeat=len(directory_state.unsynced)), MAX_OUTCOMES):
         files = dict(directory_state.durable_files)
-        for does_survive, (name, file) in zip(survives, directory_state.unsynced, strict=True):
+        for does_survive, (name, file) in zip(survivals, directory_state.unsynced, strict=True):
             if does_survive and file is not None:
                 files[name] = file
             elif does_survive:
@@ -116,4 +118,4 @@
     else:
         chosen = ([rng.choice(choices) for choices in effects] for _ in range(MAX_OUTCOMES))
     for chosen_effects in chosen:
-        yield _apply_operations(file.synced, [operation for part in chosen_effects for operation in part])
+        yield _apply_operations(file.synced, [operation for effect in chosen_effects for operation in effect])
--- a/simulation/recorded_run.py
+++ b/simulation/recorded_run.py
@@ -102,10 +102,10 @@
 
     def read_durable_state(self) -> DurableState:
         assert self.recorder is not None
-        found, _ = recover_log(self.recorder.directory)
-        if found.is_corrupt:
+        recovered, _ = recover_log(self.recorder.directory)
+        if recovered.is_corrupt:
             raise InvariantError("a disk that was not harmed counts as damaged")
-        return found.durable_state
+        return recovered.durable_state
 
 
 @dataclass
@@ -135,8 +135,10 @@
         if last_durable < 0:
             allowed_states.append(DurableState())
         for guarantee in self.guarantees:
-            if guarantee.operations <= count and (broken := _find_broken_guarantee(guarantee, durable_state)):
-                return broken
+            if guarantee.operations <= count and (
+                violation := _find_broken_guarantee(guarantee, durable_state)
+            ):
+                return violation
         if durable_state not in allowed_states:
             return f"after {count} operations the disk holds a state that it never had"
         return self._check_consistency(durable_state)
@@ -162,9 +164,8 @@
             return f"term {guarantee.term}, in which it voted, is forgotten"
         if durable_state.term == guarantee.term and durable_state.voted_for != guarantee.voted_for:
             return f"the vote of term {guarantee.term} for {guarantee.voted_for} is forgotten"
-    if (
-        guarantee.index and durable_state.term <= guarantee.term
-    ):  # a leader of a later term may have replaced it
+    # In a later term a leader may have replaced the entry.
+    if guarantee.index and durable_state.term <= guarantee.term:
         base = durable_state.snapshot.last_index if durable_state.snapshot else 0
         index = guarantee.index - base - 1
         has_it = index < 0 or (
@@ -183,8 +184,8 @@
         self._recorder = recorder
         super().__init__(seed, 3, COMPACT_AFTER_ENTRIES)
 
-    def new_disk(self, index: int) -> Disk:
-        return Disk() if index else FileDisk(recorder=self._recorder)
+    def new_disk(self, machine_index: int) -> Disk:
+        return Disk() if machine_index else FileDisk(recorder=self._recorder)
 
     def on_sent(self, index: int, replica: Replica, message: object) -> None:
         if index:
--- a/simulation/replica_group.py
+++ b/simulation/replica_group.py
@@ -76,9 +76,8 @@
         ]
         self.blocked_links: set[tuple[int, int]] = set()  # (from, to)
         self.acknowledged: list[tuple[int, Change]] = []
-        self._pending_proposals: dict[
-            tuple[int, int, int], tuple[int, Change]
-        ] = {}  # (machine, incarnation, index) -> term, change
+        # (machine, incarnation, index) -> term, change
+        self._pending_proposals: dict[tuple[int, int, int], tuple[int, Change]] = {}
         self._in_flight: list[tuple[float, int, int, int, Any]] = []  # arrival, number, from, to, message
         self._sequence_number = 0
         self._last_id = 0
@@ -151,8 +150,8 @@
             case "slow":
                 self.machines[machine_index].sync_s = SLOW_DISK_SYNC_S
             case "all":
-                for one in range(len(self.machines)):
-                    self.kill(one)
+                for index in range(len(self.machines)):
+                    self.kill(index)
 
     def restore(self) -> None:
         """Heal the network and start all machines that are down; what was wiped stays empty."""
@@ -215,12 +214,12 @@
 
     def _step(self) -> None:
         self.now += self.step_s
-        arrived = [one for one in self._in_flight if one[0] <= self.now]
-        self._in_flight = [one for one in self._in_flight if one[0] > self.now]
-        for _, _, sender, machine_index, message in sorted(arrived, key=lambda one: one[:2]):
+        due = [delivery for delivery in self._in_flight if delivery[0] <= self.now]
+        self._in_flight = [delivery for delivery in self._in_flight if delivery[0] > self.now]
+        for _, _, sender, machine_index, message in sorted(due, key=lambda delivery: delivery[:2]):
             replica = self.machines[machine_index].replica
             if replica is not None and (sender, machine_index) not in self.blocked_links:
-                replica.receive(_through_codec(message), self.now)
+                replica.receive(_encode_and_decode(message), self.now)
         for machine_index, machine in enumerate(self.machines):
             if machine.replica is not None:
                 self._drive_machine(machine_index, machine, machine.replica)
@@ -301,7 +300,10 @@
         return Batch(self.now + sync_s, writes, count, is_rotation)
 
     def _index_of(self, address: str) -> int | None:
-        return next((at for at, other in enumerate(self.machines) if other.address == address), None)
+        return next(
+            (machine_index for machine_index, other in enumerate(self.machines) if other.address == address),
+            None,
+        )
 
     def _on_applied(self, index: int, change: Change, result: ApplyResult) -> None:
         """Hook for subclasses: called for each result that the proposer of a change learns."""
@@ -315,15 +317,15 @@
             if replica is None:
                 continue
             if replica.role is Role.LEADER:
-                first = self._leader_by_term.setdefault(replica.term, replica.me.id)
-                if first != replica.me.id:
+                first_leader_id = self._leader_by_term.setdefault(replica.term, replica.me.id)
+                if first_leader_id != replica.me.id:
                     raise InvariantError(f"seed {self.seed}: term {replica.term} has two leaders")
             for index in range(
                 max(replica.log.base_index, replica.committed - 50) + 1, replica.committed + 1
             ):
                 entry = replica.log.entry(index)
-                seen = self._committed.setdefault(index, (entry.term, entry.change))
-                if seen != (entry.term, entry.change):
+                first_seen = self._committed.setdefault(index, (entry.term, entry.change))
+                if first_seen != (entry.term, entry.change):
                     raise InvariantError(f"seed {self.seed}: entry {index} was committed twice, unlike")
 
     def _check_snapshot(self, index: int, snapshot: bytes) -> None:
@@ -350,19 +352,19 @@
     def _was_accepted(self, index: int) -> bool:
         """Tell whether the configuration at an index was accepted, since its base was the newest revision."""
         newest = 0
-        for at in sorted(self._committed):
-            change = self._committed[at][1]
+        for committed_index in sorted(self._committed):
+            change = self._committed[committed_index][1]
             if (
                 isinstance(change, ConfigurationChange)
                 and change.base_revision == newest
                 and change.revision > newest
             ):
-                if at == index:
+                if committed_index == index:
                     return True
                 newest = change.revision
         return False
 
 
-def _through_codec(message: Any) -> Any:
+def _encode_and_decode(message: Any) -> Any:
     """Return a message as its receiver decodes it: two members share nothing."""
     return FrameDecoder().feed(encode(Frame(0, False, message)))[0].message
--- a/simulation/second_losses.py
+++ b/simulation/second_losses.py
@@ -109,10 +109,10 @@
             if self.rng.random() < 0.1:
                 self.configure()
             self.run(min(CHECK_INTERVAL_S, end - self.now))
-            if not self.can_lose(self.fault_tolerance):
+            if not self.tolerates_losses(self.fault_tolerance):
                 self.reduced_tolerance_until = self.now
 
-    def can_lose(self, count: int) -> bool:
+    def tolerates_losses(self, count: int) -> bool:
         """Tell whether the group tolerates the loss of any `count` of the available machines.
 
         It does if the remaining machines can elect a leader, and only one that has all that is committed.
@@ -123,7 +123,7 @@
             if machine.replica is not None and machine_index not in self.unavailable
         }
         voters_granting = {id: granting_voters(id, logs) for id in logs}
-        majorities = {id: sum(one.voter for one in log.members) // 2 + 1 for id, log in logs.items()}
+        majorities = {id: sum(member.voter for member in log.members) // 2 + 1 for id, log in logs.items()}
         last = max(self._committed, default=0)
         electable_ids: set[str] = set()
         for lost in combinations(logs, count):
@@ -206,7 +206,7 @@
             machine_indexes.sort(key=lambda machine_index: machine_index != leader)
         return machine_indexes[:count]
 
-    def lose_more(self, kind: str, machine_indexes: Sequence[int]) -> None:
+    def inject_second_losses(self, kind: str, machine_indexes: Sequence[int]) -> None:
         self.unavailable.update(machine_indexes)
         for machine_index in machine_indexes:
             self.inject_fault("wipe" if kind == "wipe and power" else kind, machine_index)
@@ -218,7 +218,7 @@
             for machine_index in running_machines:
                 self.start(machine_index)
 
-    def wait_until_served(self) -> None:
+    def wait_until_acknowledging(self) -> None:
         """Run until a claim is acknowledged.
 
         Raises InvariantError if that takes too long or anything is lost.
@@ -247,8 +247,8 @@
 def run_scenario(scenario: Scenario) -> ScenarioOutcome:
     try:
         return ScenarioOutcome(scenario, "", _run(scenario))
-    except InvariantError as broken:
-        return ScenarioOutcome(scenario, f"{scenario}: {broken}")
+    except InvariantError as violation:
+        return ScenarioOutcome(scenario, f"{scenario}: {violation}")
 
 
 def _run(scenario: Scenario) -> float:
@@ -264,20 +264,20 @@
         group.start_loss(*lost[-1])
     started_at = group.now
     group.run_with_traffic(0.3)
-    returned = {"spare": started_at, "replaced in order": started_at - SHUTDOWN_S}.get(
+    returned_at = {"spare": started_at, "replaced in order": started_at - SHUTDOWN_S}.get(
         scenario.paths[-1], group.now
     )
     for path, machine_index in lost:
         group.end_loss(path, machine_index)
     group.run_with_traffic(CATCH_UP_S + scenario.after_catch_up_s)
-    reduced_tolerance_s = max(group.reduced_tolerance_until - returned, 0.0)
-    group.lose_more(scenario.second, group.pick_victims(scenario.fault_tolerance))
-    group.wait_until_served()
+    reduced_tolerance_s = max(group.reduced_tolerance_until - returned_at, 0.0)
+    group.inject_second_losses(scenario.second, group.pick_victims(scenario.fault_tolerance))
+    group.wait_until_acknowledging()
     group.history.check()
     return reduced_tolerance_s
 
 
-def figures(outcomes: Sequence[ScenarioOutcome]) -> dict[str, object]:
+def summarize(outcomes: Sequence[ScenarioOutcome]) -> dict[str, object]:
     """Summarize scenarios.
 
     The times in `short_s` are seconds after the return in which the group tolerated fewer losses than
@@ -302,7 +302,7 @@
     for outcome in outcomes:
         if outcome.violation:
             print(outcome.violation)
-    print(msgspec.json.encode(figures(outcomes)).decode())
+    print(msgspec.json.encode(summarize(outcomes)).decode())
     return int(any(outcome.violation for outcome in outcomes))
 
 
--- a/simulation/session_explorer.py
+++ b/simulation/session_explorer.py
@@ -32,23 +32,23 @@
 
 def opening_steps(name: str, members: int) -> list[Step]:
     """Return the steps of one of OPENINGS. Replica 0 leads; replica 1 where another does."""
-    second = frozenset(range(2, members // 2 + 2))  # a majority with 1, and without 0
-    ordered: list[Step] = [SessionStep("submit", 0, order=0)]
+    voters_for_1 = frozenset(range(2, members // 2 + 2))  # a majority with 1, and without 0
+    submitted: list[Step] = [SessionStep("submit", 0, order=0)]
     # On one follower's disk and not on the leader's: no replica knows whether it is committed.
-    on_one: list[Step] = [
+    on_one_follower: list[Step] = [
         SessionStep("submit", 0, order=0, hung_disk=0),
         Step("send once", 0, frozenset({1}), hung_disk=0),
     ]
     replicated = [Step("send", 0, frozenset(range(1, members)))] * 2
-    replaced = [*[Step("elect", 1, second)] * 2, Step("send", 1, second)]
-    on_top: list[Step] = [SessionStep("submit", 0, order=2)]
+    leader_replaced = [*[Step("elect", 1, voters_for_1)] * 2, Step("send", 1, voters_for_1)]
+    later_change: list[Step] = [SessionStep("submit", 0, order=2)]
     steps: dict[str, list[Step]] = {
         "led": [],
-        "an order in the leader's log alone": ordered,
-        "an order on another's disk alone": on_one,
-        "taken, and a later one on top": [*ordered, *replicated, *on_top, *replicated],
-        "a leader that another has replaced": [*ordered, *replaced],
-        "taken, and the leader that told it replaced": [*ordered, *replicated, *replaced],
+        "an order in the leader's log alone": submitted,
+        "an order on another's disk alone": on_one_follower,
+        "taken, and a later one on top": [*submitted, *replicated, *later_change, *replicated],
+        "a leader that another has replaced": [*submitted, *leader_replaced],
+        "taken, and the leader that told it replaced": [*submitted, *replicated, *leader_replaced],
     }
     return steps[name]
 
@@ -67,7 +67,7 @@
 
     states: int
     response_count: int  # responses that were checked
-    broken: str = ""  # the violated invariant, with the steps that led there; empty: none
+    violation: str = ""  # the violated invariant, with the steps that led there; empty: none
 
 
 def explore_sessions(
@@ -98,8 +98,8 @@
                             child.observations.response_count - world.observations.response_count
                         )
             level = next_level
-    except InvariantError as broken:
-        return ExplorationResult(0, 0, f"{opening}: {broken}")
+    except InvariantError as violation:
+        return ExplorationResult(0, 0, f"{opening}: {violation}")
     return ExplorationResult(len(seen), response_count)
 
 
@@ -113,8 +113,8 @@
             possible_steps = list(world.possible_steps(is_fine_grained=True))
             action = rng.choice(sorted({step.action for step in possible_steps}))
             world = world.apply(rng.choice([step for step in possible_steps if step.action == action]))
-    except InvariantError as broken:
-        return ExplorationResult(0, 0, f"walk {seed}: {broken}")
+    except InvariantError as violation:
+        return ExplorationResult(0, 0, f"walk {seed}: {violation}")
     assert isinstance(world, SessionWorld)
     return ExplorationResult(steps, world.observations.response_count)
 
@@ -134,14 +134,19 @@
 def main(depth: int, members: int) -> int:
     """Explore from all openings and print the counts; 1 if something did not hold."""
     with Pool(2) as pool:
-        found = pool.starmap(explore_sessions, exploration_jobs(depth, members), chunksize=1)
-    for one in found:
-        if one.broken:
-            print(one.broken)
-    print(sum(one.states for one in found), "states,", sum(one.response_count for one in found), "answers")
-    return 1 if any(one.broken for one in found) else 0
+        results = pool.starmap(explore_sessions, exploration_jobs(depth, members), chunksize=1)
+    for result in results:
+        if result.violation:
+            print(result.violation)
+    print(
+        sum(result.states for result in results),
+        "states,",
+        sum(result.response_count for result in results),
+        "answers",
+    )
+    return 1 if any(result.violation for result in results) else 0
 
 
 if __name__ == "__main__":
-    chosen = [int(one) for one in sys.argv[1:]]
-    sys.exit(main(chosen[0] if chosen else 3, chosen[1] if len(chosen) > 1 else 3))
+    arguments = [int(argument) for argument in sys.argv[1:]]
+    sys.exit(main(arguments[0] if arguments else 3, arguments[1] if len(arguments) > 1 else 3))
--- a/stories/control/test_linearizability.py
+++ b/stories/control/test_linearizability.py
@@ -12,7 +12,7 @@
 
 
 def make_read(started_at: float, ended_at: float, answer: int) -> Operation:
-    return Operation(started_at, ended_at=ended_at, answer=answer)
+    return Operation(started_at, ended_at=ended_at, response=answer)
 
 
 def make_replacement(
@@ -56,7 +56,7 @@
     "both under one number": [make_replacement(0, 1, 0, 5, 1), Operation(2, 0, 5, 3, 1, tag=1)],
     "one is taken, the other read": [
         make_replacement(0, 1, 0, 5, 1),
-        Operation(2, ended_at=3, answer=5, tag=1),
+        Operation(2, ended_at=3, response=5, tag=1),
     ],
 }
 
@@ -74,7 +74,7 @@
 @test("under message and replica loss configurations are one linearizable register")
 def _(seed: int = each(*range(6))) -> None:
     group = run_observed_schedule(seed, 3 if seed % 2 else 5)
-    assert sum(one.answer is not None for one in group.history) >= 100
+    assert sum(one.response is not None for one in group.history) >= 100
 
 
 @test("members that answer reads from their own state are detected")
@@ -86,5 +86,5 @@
 @test("under long partitions, pauses and lost answers configurations are one linearizable register")
 def _(seed: int = each(0, 1, 2)) -> None:
     group = run_long_partition_schedule(seed, 3 if seed % 2 else 5, partitions=2)
-    assert group.resent >= 50 and sum(one.answer is not None for one in group.history) >= 30
+    assert group.resend_count >= 50 and sum(one.response is not None for one in group.history) >= 30
     assert group.snapshots_installed
--- a/stories/control/test_model_checker.py
+++ b/stories/control/test_model_checker.py
@@ -9,7 +9,7 @@
 from simulation.model_steps import FaultLimits
 from simulation.planted_defects import DEFECTS, TRACES, find_violation, replay
 from simulation.planted_membership_defects import (
-    LED_WITH_SPARE,
+    LEADER_ELECTED_WITH_SPARE,
     MEMBERSHIP_DEFECTS,
     STAGES,
     RepairStage,
@@ -80,7 +80,7 @@
 @test("a learner that alone has the most up-to-date log is elected, and transfers its leadership")
 def _() -> None:
     # Given a promotion on the old leader's disk alone, and the next leader's entry on the spare learner's
-    trace = [*LED_WITH_SPARE, step("tend once", 0, 1, 3), step("elect", 1, 2), step("send", 1, 3)]
+    trace = [*LEADER_ELECTED_WITH_SPARE, step("tend once", 0, 1, 3), step("elect", 1, 2), step("send", 1, 3)]
     world = RepairStage([*trace, step("crash", 1)], spares=1).world()
     # When the others elect: two of four voters, then one of three, are no majority
     for voter in (0, 2, 0, 2):
--- a/stories/control/test_second_losses.py
+++ b/stories/control/test_second_losses.py
@@ -15,7 +15,7 @@
     RecordedRead,
 )
 from simulation.planted_membership_defects import MEMBERSHIP_DEFECTS
-from simulation.second_losses import LOSS_PATHS, SECOND_LOSSES, figures, make_scenario, run_scenario
+from simulation.second_losses import LOSS_PATHS, SECOND_LOSSES, make_scenario, run_scenario, summarize
 
 SCENARIO_COUNT = 27
 
@@ -26,7 +26,7 @@
     assert {path for scenario in scenarios for path in scenario.paths} == set(LOSS_PATHS)
     outcomes = [run_scenario(scenario) for scenario in scenarios]
     assert not [outcome.violation for outcome in outcomes if outcome.violation]
-    assert figures(outcomes)["second_losses_survived"] == SCENARIO_COUNT
+    assert summarize(outcomes)["second_losses_survived"] == SCENARIO_COUNT
 
 
 @test("runs go through all second losses in turn")
--- a/stories/control/test_session_model.py
+++ b/stories/control/test_session_model.py
@@ -14,13 +14,13 @@
 @test("no two events after the opening reject an accepted change or return an old state: {opening}")
 def _(opening: str = each(*OPENINGS)) -> None:
     explored = explore_sessions(opening, 2)
-    assert not explored.broken and explored.states > 200, explored
+    assert not explored.violation and explored.states > 200, explored
 
 
 @test("no long random execution does, with three or five replicas")
 def _() -> None:
     walks = [walk_sessions(seed, 30, 3 if seed % 3 else 5) for seed in range(150)]
-    assert not any(one.broken for one in walks), [one.broken for one in walks if one.broken]
+    assert not any(one.violation for one in walks), [one.violation for one in walks if one.violation]
     assert sum(one.response_count for one in walks) > 200
 
 
--- a/stories/control/test_snapshots.py
+++ b/stories/control/test_snapshots.py
@@ -339,7 +339,7 @@
 def _(disk_fault_one_in: int = each(0, 12)) -> None:
     run = record_replica_run(1, disk_fault_one_in)
     report = check_power_losses(run, 1)
-    assert report.tried > 500 and report.recovered == report.tried and not report.broken
+    assert report.tried > 500 and report.recovered == report.tried and not report.violations
 
 
 @test("planted defects in snapshots, files and compaction are found")
