--- a/simulation/catch_up.py
+++ b/simulation/catch_up.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """The links of a site and how many replicas it has."""
+    """The links, disks and number of replicas of a site."""
 
     name: str
     machines: int
@@ -52,7 +52,7 @@
     bytes: int  # received by the replica meanwhile
     snapshots: int  # sent to it meanwhile
     terms: int  # new terms meanwhile
-    max_queueing_s: float  # longest delay of a message behind others on a link
+    max_queueing_s: float  # longest time that a message waited for earlier ones on a link
 
 
 class _Group(ReplicaGroup):
@@ -75,7 +75,7 @@
 def catch_up(
     site: Site, changes: int = CHANGES, seed: int = 1, killed_at_s: float = 0.0, disk_stall_s: float = 0.0
 ) -> CatchUpResult:
-    """Take a replica down for `changes` changes, and return how it caught up.
+    """Stop a replica while `changes` changes are made, restart it, and return how it caught up.
 
     `killed_at_s`: time after its return when it is killed again and restarted at once. `disk_stall_s`: time
     for which its disk stalls then. Raises InvariantError if it does not catch up within CATCH_UP_TIMEOUT_S.
--- a/simulation/crc_collisions.py
+++ b/simulation/crc_collisions.py
@@ -1,7 +1,8 @@
-"""Texts with equal CRC-32.
+"""Makes texts with equal CRC-32.
 
-The checksum is linear in the bits of texts of one length. So a collision is a solution of 32 linear
-equations: a set of changed padding letters whose effects cancel out, found by Gaussian elimination over bits.
+The checksum is affine in the bits of texts of one length. So a collision is a solution of 32 linear
+equations: a set of changed padding letters whose effects cancel out. It is found by Gaussian elimination over
+bits.
 """
 
 from __future__ import annotations
--- a/simulation/disk_recorder.py
+++ b/simulation/disk_recorder.py
@@ -74,8 +74,8 @@
     def __init__(self, directory: Path, should_fail: Callable[[int], bool] = lambda count: False) -> None:
         """Record nothing yet.
 
-        `should_fail`: tells by an operation's number whether it fails, as on a full disk; a failed write
-        leaves half of its bytes.
+        `should_fail`: returns whether the operation with this number fails, as on a full disk. A failed
+        write leaves half of its bytes.
         """
         self.directory = directory
         self.operations: list[DiskOperation] = []
@@ -127,7 +127,7 @@
         self.operations.append(operation)
 
     def write(self, file: Any, name: str, data: bytes) -> None:
-        """Write and record bytes. Raises OSError where the operation is to fail."""
+        """Write and record bytes. Raises OSError if `should_fail` says so."""
         if not data:
             return
         offset = file.tell()
--- a/simulation/group_machine.py
+++ b/simulation/group_machine.py
@@ -16,15 +16,15 @@
 
 @dataclass
 class Disk:
-    """A disk with batches that are synced, in the format of the write-ahead log."""
+    """A disk that contains synced batches only, in the format of the write-ahead log."""
 
     data: bytes = b""
     batch_count: int = 0
-    initial_size_bytes: int = 0  # of the first value
+    initial_size_bytes: int = 0  # of the batch that the file begins with
     wipe_count: int = 0
 
     def reopen(self) -> Disk:
-        """Return the disk for the next process; a file is written by one process only."""
+        """Return the disk with a new file for the next process; each file is written by one process only."""
         return Disk(wipe_count=self.wipe_count)
 
     def rotate(self, writes: list[Record]) -> None:
@@ -41,28 +41,29 @@
     def read_durable_state(self) -> DurableState:
         recovered = replay_batches(list(scan_batches(self.data)))
         if recovered.is_corrupt:
-            raise InvariantError("a disk that was not harmed counts as damaged")
+            raise InvariantError("recovery reports an intact disk as corrupt")
         return recovered.durable_state
 
 
 @dataclass
 class Batch:
-    """Records on their way to a disk."""
+    """Records that are being written to a disk."""
 
     due_at: float
     records: list[Record]
-    count: int  # number of the replica's records in it
-    is_rotation: bool = False  # whether it begins a new file
+    count: int  # number of the replica's pending records that this write makes durable
+    is_rotation: bool = False  # whether it is written to a new file
 
 
 @dataclass
 class NetworkLinks:
-    """Links between machines in each direction; bytes queue behind earlier bytes."""
+    """Links between machines, one for each direction; messages queue in the order of sending."""
 
     bytes_per_s: float
     delay_s: float
-    carried_bytes: dict[tuple[int, int], int] = field(default_factory=lambda: defaultdict(int))  # bytes
-    max_queueing_s: float = 0.0  # longest delay of a message behind others
+    # By (from, to).
+    carried_bytes: dict[tuple[int, int], int] = field(default_factory=lambda: defaultdict(int))
+    max_queueing_s: float = 0.0  # longest time that a message waited for earlier ones
     _free_at: dict[tuple[int, int], float] = field(default_factory=lambda: defaultdict(float))
 
     def schedule_arrival(self, sender: int, receiver: int, size: int, now: float) -> float:
--- a/simulation/group_schedules.py
+++ b/simulation/group_schedules.py
@@ -16,9 +16,9 @@
 def run_schedule(
     seed: int, machines: int = 5, seconds: float = 12.0, group: ReplicaGroup | None = None
 ) -> ReplicaGroup:
-    """Play random faults of one machine at a time, and now and then of all, under a load of changes.
+    """Inject random faults into one machine at a time, sometimes into all, under a load of changes.
 
-    `group`: used in place of an ordinary one. Raises InvariantError.
+    `group`: the group to use instead of a new `ReplicaGroup`. Raises InvariantError.
     """
     group = group or ReplicaGroup(seed, machines)
     group.run_until_leader()
@@ -40,7 +40,7 @@
         if victim is not None and group.now >= fault_ends_at:
             group.restore()
             victim = None
-            # A machine counts as lost for catch-up-s after its return.
+            # After its return a machine counts as lost for the time of the setting `catch-up-s`.
             group.run(4.0 if rng.random() < 0.5 else 2.5)
     group.restore()
     group.run_until_leader()
@@ -51,7 +51,7 @@
 
 
 def main(schedules: int) -> int:
-    """Play schedules and print what was acknowledged."""
+    """Run schedules and print how many changes were acknowledged."""
     acknowledged = 0
     for seed in range(schedules):
         acknowledged += len(run_schedule(seed, 3 if seed % 2 else 5).acknowledged)
--- a/simulation/isolated_replica.py
+++ b/simulation/isolated_replica.py
@@ -1,8 +1,8 @@
-"""A control plane replica that is isolated for some twenty seconds while clients call it.
+"""A control plane replica that is isolated for about twenty seconds while clients call it.
 
 It is partitioned in both directions ("both"), receives nothing ("deaf"), can send nothing ("mute"), or its
-process is frozen ("frozen"). At that moment it is the leader or a follower. The other replicas accept a
-change every two seconds, and one more when it returns. Its responses must keep three rules:
+process is frozen ("frozen"). When it is isolated, it is the leader or a follower. The other replicas accept
+a change every two seconds, and one more when it returns. Three rules must hold:
 
 - while it is isolated it answers 503, or redirects to a live leader other than itself; it neither
   acknowledges nor rejects a change;
@@ -35,7 +35,7 @@
 RECOVERY_S = 3.0
 REQUEST_INTERVAL_S = 0.11
 CHANGE_INTERVAL_S = 2.0
-LEADER_STALENESS_MAX_S = 0.4  # a replica may be named as leader for this time after it last led
+LEADER_STALENESS_MAX_S = 0.4  # a replica may be named as the leader until this long after it led
 PARTITION_KINDS = ("both", "deaf", "mute", "frozen")
 REJECTED_STATUSES = (400, 409, 412, 413, 422)
 
@@ -46,9 +46,9 @@
 
     kind: str
     was_leading: bool  # when it was isolated
-    answers: Counter[int] = field(default_factory=Counter)  # of the replica while it was isolated, by status
-    slowest_s: float = 0.0  # slowest response from two seconds after the isolation on
-    convergence_s: float = 0.0  # from its return until it had the change submitted then
+    answers: Counter[int] = field(default_factory=Counter)  # its responses while isolated, by status
+    slowest_s: float = 0.0  # slowest response, from two seconds after the isolation on
+    convergence_s: float = 0.0  # from its return until it has applied the change submitted then
     violations: list[str] = field(default_factory=list)
 
     @property
@@ -62,7 +62,7 @@
 
 
 def contradictions(calls: Iterable[Call]) -> list[str]:
-    """Return violations: sets of responses that a single register can't give."""
+    """Return the violations: combinations of responses that a single register can't give."""
     calls = list(calls)
     accepted_at: dict[bytes, float] = {}  # by body: when it was first acknowledged
     bodies_by_base: dict[int, set[bytes]] = {}
@@ -71,7 +71,7 @@
             accepted_at[call.order.body] = min(accepted_at.get(call.order.body, call.ended_at), call.ended_at)
             bodies_by_base.setdefault(call.order.base, set()).add(call.order.body)
     violations = [
-        f"{len(bodies)} orders on base {base} were taken"
+        f"{len(bodies)} changes with base revision {base} were accepted"
         for base, bodies in bodies_by_base.items()
         if len(bodies) > 1
     ]
@@ -87,13 +87,13 @@
             ]
             if rejected_statuses and call.order.body in accepted_at:
                 violations.append(
-                    f"order {call.order.revision} was taken, and refused with {rejected_statuses[0]}"
+                    f"change {call.order.revision} was accepted, and refused with {rejected_statuses[0]}"
                 )
         elif call.status in (200, 404):
             read_revision = int(json.loads(call.body)["revision"]) if call.status == 200 else 0
             newest = max((revision for at, revision in acknowledged if at < call.started_at), default=0)
             if read_revision < newest:
-                violations.append(f"{read_revision} was read after {newest} had been acknowledged")
+                violations.append(f"{read_revision} was read after revision {newest} had been acknowledged")
     return violations
 
 
@@ -170,7 +170,7 @@
     # --- calls ---
 
     async def _replace_configuration(self) -> None:
-        """Submit the next change, on the newest revision; that may be one without a final response."""
+        """Submit the next change, based on the newest revision, which may be without a final response."""
         base, self._revision = self._revision, self._revision + 1
         order = Order(base, self._revision, make_body(self._revision, "next"))
         call = await self.operator.replace(order)
@@ -180,7 +180,7 @@
             self._revision = base + 1
             call = await self.operator.replace(Order(base, base + 1, make_body(base + 1, "next")))
         if call.status != 200:
-            self.report.violations.append(f"a change of the others ended with {call.status}")
+            self.report.violations.append(f"a change at the other replicas ended with status {call.status}")
 
     async def _measure_convergence(self, returned_at: float) -> None:
         """Submit a change when the replica returns, and measure until the replica has it."""
@@ -224,16 +224,18 @@
                 or exchange.ended_at - last_led_at > LEADER_STALENESS_MAX_S
             ):
                 report.violations.append(
-                    f"{elapsed_s:.2f} s after the cut: 307 to {exchange.location}, no leader"
+                    f"{elapsed_s:.2f} s after the isolation: 307 to {exchange.location}, not a leader"
                 )
         elif exchange.status not in (0, 503):
-            report.violations.append(f"{elapsed_s:.2f} s after the cut it answered {exchange.status}")
+            report.violations.append(
+                f"{elapsed_s:.2f} s after the isolation it responded with {exchange.status}"
+            )
 
     async def _check_final_state(self) -> None:
         read = await self.operator.describe()
         if read.status != 200 or json.loads(read.body)["revision"] != self._revision:
             self.report.violations.append(
-                f"the end reads {read.status} {read.body[:40]!r}, not {self._revision}"
+                f"the final read returned {read.status} {read.body[:40]!r}, not revision {self._revision}"
             )
         self.report.violations += contradictions([*self.operator.calls, *self.isolated_operator.calls])
 
--- a/simulation/linearizability.py
+++ b/simulation/linearizability.py
@@ -1,10 +1,11 @@
 """Linearizability of what clients of the replica group observe: clients in virtual time, and a checker.
 
-Clients replace the configuration, based on the revision that they read last, and read it. They ask any member
-that takes itself for the leader, while members crash, are partitioned and return. Responses may be lost. Then
-the client resends the change to any member; now and then it also resends a change that was answered. Two
-clients may use one revision for different configurations. Each client logs for each call when it began, when
-it ended, and its result. A call without a response may take effect at any time after it began, or never.
+Clients replace the configuration, based on the revision that they read last, and read it. They call any
+member that considers itself the leader, while members crash, are partitioned and return. Responses may be
+lost. Then the client resends the change to any leader; sometimes it also resends a change that it got a
+response to. Two clients may use one revision for different configurations. Each client logs for each call
+when it began, when it ended, and its result. A call without a response may take effect at any time after it
+began, or never.
 
 The history is linearizable if the calls can be put in one order that respects those times and in which each
 call has the response that it got (Herlihy and Wing, TOPLAS 1990). The search is that of Wing and Gong (JPDC
@@ -28,12 +29,12 @@
 from simulation.snapshot_schedules import COMPACT_AFTER_ENTRIES, small_chunks
 
 CLIENT_TIMEOUT_S = 1.0  # for a response
-RESEND_GIVE_UP_S = 12.0  # if responses are lost, a client resends a change for this time
+RESEND_GIVE_UP_S = 12.0  # if responses may be lost, a client resends a change for this time
 RESEND_PAUSE_S = 0.2  # before a resend, if no member accepted the change
 CLIENT_COUNT = 4
-START_PROBABILITY = 0.1  # that an idle client starts a call, in each step of 0.01 s
-SAME_REVISION_SHARE = 0.2  # of the changes have the revision of another client's change
-RESEND_SHARE = 0.2  # of the changes are resends of a change that was answered
+START_PROBABILITY = 0.1  # that an idle client starts a call in a step of 0.01 s
+SAME_REVISION_SHARE = 0.2  # share of the changes that reuse the revision of another client's change
+RESEND_SHARE = 0.2  # share of the changes that are resends of a change that got a response
 PARTITION_S = 20.0
 PARTITION_KINDS = ("cut", "mute", "deaf", "frozen")
 
@@ -46,7 +47,7 @@
     tag: int = 0  # distinguishes the changes of different clients under one revision
 
 
-RegisterState = tuple[Version, ...]  # all accepted versions, the one in force last
+RegisterState = tuple[Version, ...]  # all accepted versions; the last one is in force
 
 
 @dataclass
@@ -80,13 +81,13 @@
 
 def is_linearizable(history: Sequence[Operation], first: int = 0) -> bool:
     """Tell whether a register that begins with revision `first` may have produced the history."""
-    # A read without response says nothing.
+    # A read without a response restricts nothing.
     calls = sorted(
         (call for call in history if not call.is_read or call.response is not None),
         key=lambda call: call.started_at,
     )
     total_response_count = sum(call.response is not None for call in calls)
-    visited: set[tuple[int, RegisterState]] = set()  # calls done so far, as bits, and the register
+    visited: set[tuple[int, RegisterState]] = set()  # bit mask of the calls so far, and the register
     start: RegisterState = (Version(first),)
     stack = [(0, start, 0)]
     while stack:
@@ -120,9 +121,9 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.operation: Operation | None = None
-        self.change: ConfigurationChange | None = None  # change that it sends until a final response
-        self.last_seen_revision = 0  # the revision that it saw last
-        self.member_index = 0  # the member that it sent to; -1: none accepted the change
+        self.change: ConfigurationChange | None = None  # sent until it gets a final response
+        self.last_seen_revision = 0  # base of its next change
+        self.member_index = 0  # the member that it sent to; -1: no member accepted the change
         self.requested_at = 0.0  # when it sent last
         self.round = 0  # read round of its read
         self.incarnation = 0
@@ -136,8 +137,8 @@
     ) -> None:
         """Set up the group and its clients.
 
-        `confirms_reads`: False plants a defect: any member answers reads from its own state.
-        `answer_loss_share`: the share of responses to changes that is lost.
+        `confirms_reads`: False plants a defect: any member responds to reads from its own state.
+        `response_loss_share`: share of the responses to changes that are lost.
         """
         self.history: list[Operation] = []
         self.clients = [Client(number) for number in range(CLIENT_COUNT)]
@@ -211,7 +212,7 @@
             self._send(client)
 
     def _pick_leader(self) -> int | None:
-        """Return a member that takes itself for the leader, which an isolated one may still do."""
+        """Return a member that considers itself the leader, as an isolated one may still do."""
         leading = [
             machine_index
             for machine_index, machine in enumerate(self.machines)
@@ -263,7 +264,7 @@
         self._send(client)
 
     def _send(self, client: Client) -> None:
-        """Propose the client's change to a member that accepts it; others reject it at once."""
+        """Propose the client's change to a leader. If none accepts it, it is resent after RESEND_PAUSE_S."""
         assert client.change is not None
         machine_index = self._pick_leader()
         client.requested_at = self.now
@@ -313,7 +314,7 @@
 def run_observed_schedule(
     seed: int, machines: int = 3, seconds: float = 10.0, confirms_reads: bool = True
 ) -> ObservedGroup:
-    """Play random faults of one machine at a time, or of all.
+    """Inject random faults into one machine at a time, or into all.
 
     Raises InvariantError if the history of the clients is not linearizable.
     """
@@ -328,16 +329,16 @@
             replica.transfer_leadership()
         group.run(rng.uniform(0.1, 1.5))
         group.restore()
-        group.run(rng.uniform(2.5, 4.0))  # until a returned machine has caught up, it still counts as lost
+        group.run(rng.uniform(2.5, 4.0))  # a returned machine counts as lost until it has caught up
     return _verify(group)
 
 
 def run_long_partition_schedule(
     seed: int, machines: int = 3, partitions: int = 3, response_loss_share: float = 0.8
 ) -> ObservedGroup:
-    """Play partitions of some twenty seconds, of one member after the other, while most responses are lost.
+    """Partition one member after the other, for about twenty seconds each, while most responses are lost.
 
-    Partitions are in both directions or one, or the member is frozen; a member that returns needs a snapshot.
+    A partition is in both directions or one, or the member is frozen. A member that returns needs a snapshot.
     Raises InvariantError if the history of the clients is not linearizable.
     """
     group = ObservedGroup(seed, machines, response_loss_share=response_loss_share)
@@ -356,8 +357,10 @@
 def _verify(group: ObservedGroup) -> ObservedGroup:
     if group.rejected_resend_count:
         raise InvariantError(
-            f"seed {group.seed}: {group.rejected_resend_count} orders that were taken were refused"
+            f"seed {group.seed}: {group.rejected_resend_count} accepted changes were refused when resent"
         )
     if not is_linearizable(group.history):
-        raise InvariantError(f"seed {group.seed}: {len(group.history)} calls are no history of one register")
+        raise InvariantError(
+            f"seed {group.seed}: the history of {len(group.history)} calls is not linearizable"
+        )
     return group
--- a/simulation/long_run.py
+++ b/simulation/long_run.py
@@ -1,8 +1,8 @@
 """Disk space of one replica over an hour of large changes, in virtual time over real files.
 
-`ReplicaServer`, the replica and the log are those in service. The clock, the event loop and the duration of
-disk operations are simulated, and `fsync` is not called. The disk is slow for five minutes, hangs for twenty
-seconds, and for a minute fails every write after it has written the bytes.
+`ReplicaServer`, the replica and the log are the production code. The clock, the event loop and the duration
+of disk operations are simulated, and `fsync` is not called. The disk is slow for five minutes, hangs for
+twenty seconds, and for a minute fails every write after it has written the bytes.
 
     python -m simulation.long_run [SECONDS]
 """
@@ -46,7 +46,7 @@
 class DiskFault:
     """A fault of the disk and when it begins."""
 
-    starts_at_share: float  # of the duration of the run
+    starts_at_share: float  # start of the fault, as a share of the run's duration
     duration_s: float
     write_s: float = 0.0
     fails_syncs: bool = False
@@ -60,7 +60,7 @@
 
 
 class _DiskLoop(VirtualLoop):
-    """An event loop on which work in the disk's thread takes as long as the active fault says."""
+    """An event loop that delays work in the disk's thread according to the active fault."""
 
     def __init__(self, seconds: float) -> None:
         super().__init__()
@@ -118,7 +118,7 @@
 
 
 class LongRun:
-    """One replica under a load of changes, with a disk that has one fault after the other."""
+    """One replica under a load of changes, on a disk with the faults of DISK_FAULTS."""
 
     def __init__(self, directory: Path, seconds: float) -> None:
         self._directory = directory
@@ -126,7 +126,7 @@
         self.figures = LongRunFigures(seconds)
         self._in_flight = 0
         self._revision = 0
-        self._acknowledged = 0  # newest revision acknowledged
+        self._acknowledged = 0  # newest acknowledged revision
         me = Member("", "10.0.0.1:1", "10.0.0.1:2")
         self._replica_server = ReplicaServer(
             self.loop,
@@ -166,8 +166,8 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _propose_change(self) -> None:
-        # Based on the change before, also while that is pending: if that one fails, those based on it fail
-        # too.
+        # Each change is based on the previous one, even while that is pending. If one fails, so do all that
+        # are based on it.
         base = self._revision if self._in_flight else self._replica_server.state.revision
         self._revision += 1
         self._in_flight += 1
--- a/simulation/membership_history.py
+++ b/simulation/membership_history.py
@@ -1,9 +1,10 @@
-"""Recorder and checker of membership changes: do they form a history of one sequential group?
+"""Records membership changes and checks that they form a history of one sequential group.
 
-The record has requests to join, wiped disks, each membership change that any replica committed, and the
+The record consists of join requests, wiped disks, each membership change that any replica committed, and the
 members that operators read at a leader that a read round confirmed. The sequential group admits one member at
-a time, as a learner that asked to join and whose disk is not wiped. It promotes and demotes one member at a
-time. It removes learners, and voters only if their disk is wiped. It always keeps the voters that it needs.
+a time, as a learner that requested to join and whose disk is not wiped. It promotes and demotes one member at
+a time. It removes learners, and voters only if their disk is wiped. It always keeps as many voters as it
+needs.
 """
 
 from __future__ import annotations
@@ -56,7 +57,9 @@
         max_voters = 0
         for before, after in pairwise(changes):
             if after.term < before.term:
-                raise InvariantError(f"entry {after.index} is of an older leader than entry {before.index}")
+                raise InvariantError(
+                    f"entry {after.index} has a term of an older leader than entry {before.index}"
+                )
             max_voters = max(max_voters, len(_voters(before.members)))
             self._check_change(before.members, after, max_voters)
         for read in self.reads:
@@ -74,7 +77,7 @@
             if old[id].voter and not self._is_wiped(id, after.seen_at):
                 raise InvariantError(f"entry {after.index} removes the voter {id}, whose disk is there")
         elif old[id].voter and len(_voters(after.members)) < self.sizing.target_voters:
-            raise InvariantError(f"entry {after.index} takes the vote of {id}, which is needed")
+            raise InvariantError(f"entry {after.index} demotes the voter {id}, which is needed")
         needed = min(max_voters, self.sizing.min_voters)
         if len(_voters(after.members)) < needed:
             raise InvariantError(
@@ -85,7 +88,7 @@
         if joiner.voter:
             raise InvariantError(f"entry {change.index} admits {joiner.id} as a voter")
         if self.join_requested_at.get(joiner.id, change.seen_at + 1.0) > change.seen_at:
-            raise InvariantError(f"entry {change.index} admits {joiner.id}, which has not asked")
+            raise InvariantError(f"entry {change.index} admits {joiner.id}, which has not asked to join")
         earlier = [other for other in self.changes if other.index < change.index]
         was_member = any(member.id == joiner.id for other in earlier for member in other.members)
         if was_member and self._is_wiped(joiner.id, change.seen_at):
@@ -100,7 +103,7 @@
         later = [change for change in changes if read.started_at < change.seen_at <= read.ended_at]
         if read.members not in [change.members for change in [*older[-1:], *later]]:
             raise InvariantError(
-                f"a read at {read.started_at:.2f} s was told of members that were not in force then"
+                f"a read at {read.started_at:.2f} s returned members that were not in force then"
             )
 
 
--- a/simulation/model_invariants.py
+++ b/simulation/model_invariants.py
@@ -21,7 +21,7 @@
 def check_invariants(world: World, leader_logs: dict[int, list[LogEntry]], before: World) -> None:
     """Check a state against the one before it. Raises InvariantError.
 
-    `led_logs`: the logs of those that led before the step, by node.
+    `leader_logs`: by node, the logs of the replicas that led before the step.
     """
     logs = [
         (node_index, node.replica) for node_index, node in enumerate(world.nodes) if node.replica is not None
@@ -44,7 +44,7 @@
             entry = replica.log.entry(index)
             world.committing_terms.setdefault(index, replica.term)
             if world.committed.setdefault(index, (entry.term, entry.change)) != (entry.term, entry.change):
-                world.fail(f"entry {index} was committed twice, unlike")
+                world.fail(f"entry {index} was committed twice, with different contents")
         for other, other_replica in logs[:node_index]:
             _check_match(world, node_index, replica, other, other_replica)
     for node_index, replica in logs:
@@ -74,9 +74,9 @@
 
 
 def lost_disks(world: World, logs: dict[str, Log]) -> set[str]:
-    """Return the ids whose disk is gone and that still count in some configuration.
+    """Return the ids of lost disks that still count in some configuration.
 
-    A lost voter that has no successor yet is in it by its number alone.
+    A lost voter that was removed and has no successor yet is in no configuration: a placeholder counts it.
     """
     configurations = [_newest_committed(world), *(log.members for log in logs.values())]
     lost = {member.id for members in configurations for member in members} - logs.keys()
@@ -105,7 +105,7 @@
             if id not in lost and len(granted - lost) >= majorities[id]
         }
         if not electable and further_losses >= 0:
-            world.fail(f"without {', '.join(missing) or 'any more'} nobody can be elected")
+            world.fail(f"after losing {', '.join(missing) or 'no further disk'} no replica can be elected")
         electable_ids |= electable
     for id in electable_ids:
         for index, (term, _) in world.committed.items():
@@ -114,23 +114,27 @@
 
 
 def _check_majorities(world: World, before: World, logs: dict[str, Log]) -> None:
-    """Check the majority behind what was committed, and who was elected, in this step."""
+    """Check that what was committed, and who was elected, in this step has a majority of the voters."""
     for node_index, node in enumerate(world.nodes):
         replica, earlier = node.replica, before.nodes[node_index].replica
         if replica is None or replica is earlier or replica.role is not Role.LEADER:
             continue
         was_leading = earlier is not None and earlier.role is Role.LEADER and earlier.term == replica.term
         voters = {voter.id for voter in replica.voters}
-        missing = len(voters - logs.keys())  # lost voters may have had it
+        missing = len(voters - logs.keys())  # lost voters may have stored the entry
         if not was_leading and earlier is not None and earlier.term != replica.term:
             votes = sum(other.id in voters and other.voted_for(replica) for other in world.nodes)
             if votes < replica.majority():
-                world.fail(f"{node.id} leads term {replica.term} by {votes} of {len(voters)} voters")
+                world.fail(
+                    f"{node.id} leads term {replica.term} with the votes of {votes} of {len(voters)} voters"
+                )
         if earlier is not None and replica.committed > earlier.committed:
             term = replica.log.term_at(replica.committed)
             copies = sum(has_entry(logs[id], replica.committed, term) for id in voters & logs.keys())
             if copies + missing < replica.majority():
-                world.fail(f"entry {replica.committed} is committed by {copies} of {len(voters)} voters")
+                world.fail(
+                    f"entry {replica.committed} is committed with copies on {copies} of {len(voters)} voters"
+                )
 
 
 def _check_membership_changes(world: World, logs: dict[str, Log]) -> None:
@@ -142,16 +146,16 @@
             if len(voters[0] ^ voters[1]) > 1:
                 world.fail(f"entry {second.index} changes more than one voter")
         if sum(entry.index > last_committed for entry in changes) > 1:
-            world.fail(f"{id} holds a second change of members before the first is committed")
+            world.fail(f"{id} has a second membership change before the first is committed")
 
 
 def has_entry(log: Log, index: int, term: int | None) -> bool:
-    """Whether a log has the entry; what its snapshot covers was committed and counts as held."""
+    """Tell whether a log has the entry. What its snapshot covers was committed and counts as present."""
     return index <= log.base_index or log.term_at(index) == term
 
 
 def granting_voters(id: str, logs: dict[str, Log]) -> frozenset[str]:
-    """Return the voters of a node's own configuration that would vote for it; none if it is no member."""
+    """Return the voters of a node's own configuration that would vote for it; none if it is not a member."""
     log = logs[id]
     voters = [member.id for member in log.members if member.voter]
     if id not in {member.id for member in log.members}:
--- a/simulation/model_keys.py
+++ b/simulation/model_keys.py
@@ -1,4 +1,4 @@
-"""Keys of the model checker's states, by which it recognizes states that it has visited."""
+"""Keys of the model checker's states, by which it recognizes visited states."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def state_key(world: World) -> bytes:
-    """Return the same bytes for equivalent states; time is no part of them."""
+    """Return the same bytes for equivalent states; the time is not part of the key."""
     parts: list[Any] = [
         (
             world.remaining.changes,
@@ -48,7 +48,7 @@
 
 
 def _by_last_seen(replica: Replica, fault_tolerance: int) -> list[str]:
-    """Who was heard longest ago comes first, where that decides who makes room."""
+    """Return the followers, least recently seen first, if that order decides which voter is demoted."""
     if replica.role is not Role.LEADER or len(replica.members) <= 2 * fault_tolerance + 1:
         return []
     progress = replica.followers
@@ -56,9 +56,9 @@
 
 
 def symmetric_key(world: World) -> bytes:
-    """Return the same bytes also for states that differ only by a permutation of the nodes.
+    """Return the same bytes even for states that differ only by a permutation of the nodes.
 
-    It is the smallest encoding over all renamings of nodes that differ only in their names.
+    The key is the smallest encoding over all renamings of nodes that differ only in their names.
     """
     parts = msgspec.msgpack.decode(world.key())
     header, remaining_parts = parts[0], parts[1:]
--- a/simulation/model_state.py
+++ b/simulation/model_state.py
@@ -1,7 +1,7 @@
 """State of a replica group for the model checker, and how one step changes it.
 
-The replicas are the modules in service; messages between them and writes to their disks are carried here, in
-zero time. States are immutable to their users: `World.apply` returns a new one.
+The replicas run the production modules; this module delivers their messages and performs their disk writes,
+in zero time. States are immutable to their users: `World.apply` returns a new one.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
 from simulation.model_keys import state_key
 from simulation.model_steps import FaultLimits, Step, possible_steps
 
-EXCHANGE_ROUNDS_MAX = 12  # round trips of messages in a step: more than any step needs
-STEP_INTERVAL_S = 10.0  # between steps, so that all leases and timeouts have expired
+EXCHANGE_ROUNDS_MAX = 12  # round trips of messages in a step; no step needs as many
+STEP_INTERVAL_S = 10.0  # time between steps; all leases and timeouts expire in it
 VOTE_MESSAGES = (RequestVote, RequestVoteReply)
 REPLICATION_MESSAGES = (AppendEntries, AppendEntriesReply, InstallSnapshot)
 
@@ -47,10 +47,10 @@
     """A machine of the group: its disk, and the replica that runs on it unless it is down."""
 
     id: str
-    disk: tuple[Record, ...]  # what is synced
+    disk: tuple[Record, ...]  # the synced records
     replica: Replica | None = None
     incarnations: int = 1
-    _cached_state: tuple[tuple[Record, ...], DurableState] | None = None  # of that disk
+    _cached_state: tuple[tuple[Record, ...], DurableState] | None = None  # recovered from that disk
 
     def durable_state(self) -> DurableState:
         """Return what a replica that starts on the disk now would recover."""
@@ -75,7 +75,7 @@
 
 @dataclass
 class World:
-    """The state of a whole group, what may still happen to it, and the steps that led there."""
+    """The state of a whole group, the faults that may still come, and the steps that led to the state."""
 
     nodes: list[Node]
     remaining: FaultLimits
@@ -90,7 +90,7 @@
 
     @staticmethod
     def established(members: int, limits: FaultLimits | None = None, spares: int = 0) -> World:
-        """Return an established group without a leader: so many voters, and `spares` learners."""
+        """Return an established group without a leader: `members` voters and `spares` learners."""
         all_members = tuple(
             Member(f"m{node_index}", f"a{node_index}", "", voter=node_index < members)
             for node_index in range(members + spares)
@@ -108,7 +108,7 @@
         return world
 
     def clone(self, touched: set[int]) -> World:
-        """Return a copy that shares all nodes but those at the indexes `touched`."""
+        """Return a copy that shares all nodes except those at the indexes `touched`."""
         return replace(
             self,
             remaining=copy(self.remaining),
@@ -241,9 +241,9 @@
     def _exchange(
         self, step: Step, message_types: tuple[type, ...], max_rounds: int = EXCHANGE_ROUNDS_MAX
     ) -> None:
-        """Carry messages of these types between the actor and those it reaches until there are none.
+        """Deliver messages of these types between the actor and the nodes it reaches until there are none.
 
-        All others are lost, but for a candidate's vote requests that follow a pre-vote alone.
+        All others are lost. In a "trial", vote requests after the pre-vote stay in the outbox for a "stand".
         """
         participants = {step.actor, *step.reached}
         deferred: list[OutgoingMessage] = []
@@ -289,7 +289,7 @@
         check_invariants(self, leader_logs, before)
 
     def lost(self) -> set[str]:
-        """Return the ids whose disk is gone and that still count; see `lost_disks`."""
+        """Return the ids of lost disks that still count; see `lost_disks`."""
         return lost_disks(self, {node.id: node.log() for node in self.nodes})
 
     def fail(self, text: str) -> NoReturn:
@@ -306,5 +306,5 @@
 
 
 def _encode_and_decode(message: Any) -> Any:
-    """Return a message as its receiver decodes it: it shares nothing with the sender's."""
+    """Return a message as its receiver decodes it, so that it shares no objects with the sender."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=type(message))
--- a/simulation/model_steps.py
+++ b/simulation/model_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the model checker: what may happen to a replica group in one event, and which may come next."""
+"""Steps of the model checker: the events of a replica group, and which of them may come next."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
     `action`: "elect" (pre-vote and election), "order" (propose a change), "send" (replicate), "crash",
     "start", "wipe", "tend" (make all membership changes that are due), "tend once" (propose one of them
-    without replication). Finer ones: "trial" (pre-vote only), "stand" (election after it), "send once",
-    "hand over" (transfer leadership), "let go" (a member asks to leave). Random walks choose from the sorted
-    list of actions, so renaming an action changes the walk of a seed.
+    without replication). In fine-grained walks also: "trial" (pre-vote only), "stand" (election after it),
+    "send once", "hand over" (transfer leadership), "let go" (a member asks to leave). Random walks choose
+    from the sorted list of actions, so renaming an action changes the walk of a seed.
     """
 
     action: str
@@ -40,7 +40,7 @@
 
 @dataclass
 class FaultLimits:
-    """How many changes and faults may still come in one history."""
+    """How many changes and faults may still occur in one history."""
 
     changes: int = 2
     crashes: int = 2
@@ -50,7 +50,8 @@
 def possible_steps(world: World, is_fine_grained: bool = False) -> Iterator[Step]:
     """Yield all steps that may come next.
 
-    `is_fine_grained`: an election in its two halves and a single append as well.
+    `is_fine_grained`: also yield the two phases of an election, single appends, leadership transfers and
+    leave requests.
     """
     up = [node_index for node_index, node in enumerate(world.nodes) if node.replica is not None]
     for actor in up:
@@ -85,7 +86,7 @@
 
 
 def _membership_steps(actor: int, others: list[int], is_fine_grained: bool) -> Iterator[Step]:
-    """Yield what a leader may do about its members."""
+    """Yield the steps in which a leader changes the membership or transfers leadership."""
     for reached in _subsets(others):
         if not reached:
             continue
--- a/simulation/planted_defects.py
+++ b/simulation/planted_defects.py
@@ -79,7 +79,7 @@
 
 
 def _match_indexes(replication_state: Replication) -> list[int]:
-    """Return up to which index each other voter's disk is known to match the leader's log."""
+    """Return, for each other voter, the index up to which its disk is known to match the leader's log."""
     others = replication_state._replica.other_voters()
     return [replication_state._replica.followers[member.id].match_index for member in others]
 
@@ -119,7 +119,7 @@
     return Step(action, actor, frozenset(reached), hung_disk)
 
 
-# For a defect that only one order of events reveals: that order. Random walks find the others.
+# Defects that only one order of events reveals, each with that order. Random walks find the others.
 TRACES: dict[str, list[Step]] = {
     "commits an older term's entry by count": [
         _step("elect", 0, 1),
@@ -147,7 +147,7 @@
         _step("stand", 2, 1),
     ],
 }
-RANDOM_WALK_COUNT = 400  # defects without a trace are found within a fourth of them
+RANDOM_WALK_COUNT = 400  # a quarter of them suffices to find each defect without a trace
 
 
 def find_violation(name: str) -> str:
--- a/simulation/planted_membership_defects.py
+++ b/simulation/planted_membership_defects.py
@@ -110,9 +110,9 @@
 LEADER_ELECTED = [step("elect", 0, 1, 2), step("send", 0, 1, 2), step("order", 0), step("send", 0, 1, 2)]
 LEADER_ELECTED_WITH_SPARE = [step("elect", 0, 1, 2, 3), step("order", 0), step("send", 0, 1, 2, 3)]
 MEMBER_WIPED = [*LEADER_ELECTED, step("wipe", 2), step("start", 2)]
-# The spare learner is promoted, and the leader has just begun to demote the unresponsive voter.
+# The spare learner is promoted, and the leader is about to demote the unresponsive voter.
 SPARE_PROMOTED = [*LEADER_ELECTED_WITH_SPARE, step("tend once", 0, 1, 3), step("send once", 0, 1, 3)]
-# For a defect that only one order of events reveals: that order. Random walks find the others.
+# Defects that only one order of events reveals, each with that order. Random walks find the others.
 TRACES: dict[str, list[Step]] = {
     "a learner is promoted before it has the log": [*MEMBER_WIPED, step("tend", 0, 1, 2, hung_disk=2)],
     "a second change begins before the first is committed": [
@@ -168,7 +168,7 @@
 
 
 def explore_from(stage: str, depth: int) -> int:
-    """Visit all states within `depth` steps of a stage, and return how many. Raises InvariantError."""
+    """Visit all states within `depth` steps of a stage and return their number. Raises InvariantError."""
     return explore(3, depth, start=STAGES[stage].world())
 
 
--- a/simulation/planted_session_defects.py
+++ b/simulation/planted_session_defects.py
@@ -1,8 +1,8 @@
 """Defects planted in responses to clients, to test the checks of them: each defect must be found.
 
 Each defect in the handling of resends and reads has a trace in the model of client sessions
-(simulation/client_sessions.py), behind one of its openings. Defects that depend on time are found in whole
-simulated meshes (simulation/isolated_replica.py).
+(simulation/client_sessions.py) that begins with one of its openings. Defects that depend on time are found in
+whole simulated meshes (simulation/isolated_replica.py).
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def _rejects_when_deposed() -> PlantedDefect:
-    """Rejects a change that a deposed leader could not commit with 412, instead of leaving it open."""
+    """Rejects with 412 a change that a deposed leader could not commit, though its result is unknown."""
 
     def expire_proposals(self: PendingRequests[Any, Any], replica: Replica) -> list[ProposalCompleted[Any]]:
         leading_term = replica.term if replica.role is Role.LEADER else -1
@@ -46,7 +46,7 @@
 
 @contextmanager
 def _compares_base_when_submitted() -> Iterator[None]:
-    """Compares a change's base when it is submitted, and applies whatever is in the log."""
+    """Compares a change's base when it is submitted, and applies every change in the log."""
 
     def submit(self: SessionWorld, node_index: int, order: int) -> None:
         state, change = self.states[node_index], ORDERS[order]
@@ -74,14 +74,14 @@
 
 
 def _compares_by_checksum() -> PlantedDefect:
-    """Takes configurations with the same CRC-32 for the same configuration."""
+    """Treats configurations with the same CRC-32 as the same configuration."""
     return mock.patch.object(
         accepted_configurations, "compute_digest", lambda body: crc32(body).to_bytes(4, "big")
     )
 
 
 def _reads_without_read_round() -> PlantedDefect:
-    """Answers reads at any replica that takes itself for the leader, without a read round."""
+    """Responds to reads at any replica that considers itself the leader, without a read round."""
 
     def complete_reads(
         self: PendingRequests[Any, Any], replica: Replica, now: float
@@ -94,7 +94,7 @@
 
 @contextmanager
 def _matches_results_by_index_alone() -> Iterator[None]:
-    """Answers a caller with the result of the entry at its index, whoever proposed that entry."""
+    """Responds to a caller with the result of the entry at its index, whoever proposed that entry."""
     apply = PendingRequests.apply_committed
 
     def apply_any_term(
@@ -127,7 +127,7 @@
 
 
 def _rejects_without_contact() -> PlantedDefect:
-    """Rejects an invalid change at once at any replica that takes itself for the leader."""
+    """Rejects an invalid change at any replica that considers itself the leader, without a read round."""
     return mock.patch.object(ReplicaServer, "read", lambda self, done: done(self.replica.is_leading))
 
 
@@ -145,7 +145,7 @@
     "a 400 and a read without contact": (_rejects_without_contact, "both", True),
 }
 REPLICATE_FROM_SECOND = Step("send", 1, frozenset({2}))
-# For each defect an opening, and the events after it that reveal the defect. The correct code passes them.
+# For each defect, an opening and the events after it that reveal the defect. The correct code passes them.
 TRACES: dict[str, tuple[str, list[Step]]] = {
     "a 412 from a deposed leader": (
         "an order on another's disk alone",
--- a/simulation/planted_snapshot_defects.py
+++ b/simulation/planted_snapshot_defects.py
@@ -26,9 +26,9 @@
 from simulation.recorded_run import record_replica_run
 from simulation.snapshot_schedules import run_snapshot_schedule
 
-SEED_COUNT = 4  # recorded runs with power losses; what these can find, the first two find
+SEED_COUNT = 4  # recorded runs with power losses; the first two find all that these can find
 SCHEDULE_COUNT = 40
-DISK_FAULT_ONE_IN = 12  # operations, in every second recorded run
+DISK_FAULT_ONE_IN = 12  # on average one disk operation in 12 fails, in every second recorded run
 
 
 @contextmanager
--- a/simulation/power_loss.py
+++ b/simulation/power_loss.py
@@ -2,7 +2,7 @@
 
 `simulation.disk_recorder` records the operations of the write-ahead log on a real directory.
 `simulation.power_loss_outcomes` derives the directories that a loss of power may leave.
-`simulation.recorded_run` plays a replica group whose first machine is recorded, together with the guarantees
+`simulation.recorded_run` runs a replica group and records its first machine, together with the guarantees
 that its disk must fulfil. `check_power_losses` recovers the log from every outcome.
 """
 
@@ -23,7 +23,7 @@
 
 @dataclass
 class PowerLossReport:
-    """How many outcomes were tried, and which of them did not recover."""
+    """How many outcomes were tried, and how recovery failed in some of them."""
 
     tried: int = 0
     recovered: int = 0
@@ -41,7 +41,7 @@
 
 
 def check_power_losses(run: RecordedRun, seed: int, stop_at_first: bool = False) -> PowerLossReport:
-    """Lose power after each operation, and recover from each outcome.
+    """Simulate a loss of power after each operation, and recover from each outcome.
 
     `stop_at_first`: return at the first outcome that does not recover.
     """
@@ -64,12 +64,12 @@
 
 
 def _check_directory(path: Path, directory: FilesByName, run: RecordedRun, count: int) -> str:
-    """Recover from one outcome; return what is wrong with it, or an empty text."""
+    """Recover from one outcome; return what is wrong with it, or an empty string."""
     for old_file in path.iterdir():
         old_file.unlink()
     for name, content in directory.items():
         (path / name).write_bytes(content)
     recovered, _ = recover_log(path)
     if recovered.is_corrupt:
-        return f"after {count} operations the disk counts as damaged"
+        return f"after {count} operations recovery reports the disk as corrupt"
     return run.check(count, recovered.durable_state)
--- a/simulation/power_loss_outcomes.py
+++ b/simulation/power_loss_outcomes.py
@@ -1,8 +1,8 @@
 """Directories that a loss of power may leave, under the weakest guarantees of file systems.
 
-A write that no sync of its file covers is there, missing or torn, independently of other writes. A name that
-was created or removed after the last sync of its directory is kept or lost, independently of other names and
-of whether the file was synced.
+A write that no sync of its file covers is complete, missing or torn, independently of other writes. A name
+that was created or removed after the last sync of its directory is kept or lost, independently of other names
+and of whether the file was synced.
 """
 
 from __future__ import annotations
@@ -25,7 +25,9 @@
     WriteBytes,
 )
 
-MAX_OUTCOMES = 64  # of one loss of power; of more than these a random choice is played
+# Limits each kind of combination: of names, of files' contents, and of the writes to a file. Of the last, if
+# there are more, random ones are tried.
+MAX_OUTCOMES = 64
 
 
 @dataclass
@@ -33,7 +35,7 @@
     """Contents that are durable, and writes since the last sync."""
 
     synced: bytes = b""
-    unsynced: list[WriteBytes | TruncateFile] = field(default_factory=list)  # that no sync covers
+    unsynced: list[WriteBytes | TruncateFile] = field(default_factory=list)  # not covered by a sync
 
 
 @dataclass
@@ -94,7 +96,7 @@
 
 
 def power_loss_outcomes(operations: Sequence[DiskOperation], rng: random.Random) -> Iterator[FilesByName]:
-    """Yield the directories that a loss of power after these operations may leave; some, if they are many."""
+    """Yield directories that a loss of power after these operations may leave; some, if there are many."""
     directory_state = _replay(operations)
     for survivals in islice(product((True, False), repeat=len(directory_state.unsynced)), MAX_OUTCOMES):
         files = dict(directory_state.durable_files)
--- a/simulation/recorded_run.py
+++ b/simulation/recorded_run.py
@@ -32,17 +32,17 @@
 
 @dataclass
 class RecordedBatch:
-    """A batch of records: the durable state with it, and between which operations it was written."""
+    """A batch of records, the durable state after it, and between which operations it was written."""
 
     records: Sequence[Record]
     durable_state: DurableState
-    started_after: int  # number of operations before it was first tried
-    durable_after: float = inf  # number of operations after which it was on disk
+    started_after: int  # number of operations before the first attempt to write it
+    durable_after: float = inf  # number of operations after which it is durable
 
 
 @dataclass(frozen=True, slots=True)
 class Guarantee:
-    """A message that relies on the disk: after `operations` recorded operations recovery must confirm it."""
+    """What a message promises: after `operations` recorded operations, recovery must confirm it."""
 
     operations: int
     term: int
@@ -65,7 +65,7 @@
 
 @dataclass
 class FileDisk(Disk):
-    """Real files; each start of the replica opens the same directory anew."""
+    """Real files. Each start of the replica opens the same directory again."""
 
     recorder: OperationRecorder | None = None
     batches: list[RecordedBatch] = field(default_factory=list)
@@ -104,7 +104,7 @@
         assert self.recorder is not None
         recovered, _ = recover_log(self.recorder.directory)
         if recovered.is_corrupt:
-            raise InvariantError("a disk that was not harmed counts as damaged")
+            raise InvariantError("recovery reports an intact disk as corrupt")
         return recovered.durable_state
 
 
@@ -130,7 +130,7 @@
         last_durable = max(
             (index for index, batch in enumerate(started) if batch.durable_after <= count), default=-1
         )
-        # Any batch that was started since may be there, whether or not it was reported as written.
+        # Any batch that was started since then may be on disk, even if it was not reported as written.
         allowed_states = [batch.durable_state for batch in started[max(last_durable, 0) :]]
         if last_durable < 0:
             allowed_states.append(DurableState())
@@ -140,7 +140,7 @@
             ):
                 return violation
         if durable_state not in allowed_states:
-            return f"after {count} operations the disk holds a state that it never had"
+            return f"after {count} operations recovery returns a state that was never written"
         return self._check_consistency(durable_state)
 
     def _check_consistency(self, durable_state: DurableState) -> str:
@@ -149,7 +149,7 @@
             base = durable_state.snapshot.last_index
             msgspec.msgpack.decode(durable_state.snapshot.state, type=StateMachineSnapshot)
             if self.snapshots.get(base, durable_state.snapshot.state) != durable_state.snapshot.state:
-                return f"the snapshot up to entry {base} is none that the group had"
+                return f"the snapshot up to entry {base} is not one that the group made"
         if [entry.index for entry in durable_state.entries] != list(
             range(base + 1, base + 1 + len(durable_state.entries))
         ):
@@ -158,12 +158,12 @@
 
 
 def _find_broken_guarantee(guarantee: Guarantee, durable_state: DurableState) -> str:
-    """Return how a promise is broken. A term alone is no promise: only votes elect a leader."""
+    """Return how a guarantee is broken. A term alone is not a guarantee, since only votes elect a leader."""
     if guarantee.voted_for:
         if durable_state.term < guarantee.term:
-            return f"term {guarantee.term}, in which it voted, is forgotten"
+            return f"term {guarantee.term}, in which it voted, is not recovered"
         if durable_state.term == guarantee.term and durable_state.voted_for != guarantee.voted_for:
-            return f"the vote of term {guarantee.term} for {guarantee.voted_for} is forgotten"
+            return f"the vote of term {guarantee.term} for {guarantee.voted_for} is not recovered"
     # In a later term a leader may have replaced the entry.
     if guarantee.index and durable_state.term <= guarantee.term:
         base = durable_state.snapshot.last_index if durable_state.snapshot else 0
@@ -202,9 +202,9 @@
 
 
 def record_replica_run(seed: int, disk_fault_one_in: int = 0) -> RecordedRun:
-    """Play a seed's run and return its record. Raises InvariantError.
+    """Run the group with a seed and return the record. Raises InvariantError.
 
-    `disk_fault_one_in`: one in so many operations of the first machine's disk fails, by chance; 0: none.
+    `disk_fault_one_in`: on average one in this many operations of the first machine's disk fails; 0: none.
     """
     rng = random.Random(seed * 7919 + disk_fault_one_in)
     with TemporaryDirectory(prefix="cometdoor-simulation-") as name, small_chunks():
--- a/simulation/replica_group.py
+++ b/simulation/replica_group.py
@@ -1,8 +1,8 @@
-"""A replica group in virtual time: the modules in service over disks that lose power and links that are cut.
+"""A replica group in virtual time: the production modules on disks that lose power and links that fail.
 
-One seed gives one schedule. After every step it is checked that no term has two leaders, that all members
-agree on what is committed, and that a leader's committed entries include everything that was acknowledged.
-`simulation.group_schedules` plays random faults against it.
+A seed determines the schedule. After every step it is checked that no term has two leaders and that all
+members agree on what is committed. `ReplicaGroup.check_nothing_lost` checks that a leader's state includes
+everything that was acknowledged. `simulation.group_schedules` injects random faults.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 STEP_S = 0.01
 NETWORK_DELAY_S = 0.002
-SLOW_DISK_SYNC_S = 0.5  # of a slow disk
+SLOW_DISK_SYNC_S = 0.5  # duration of a sync on a slow disk
 WRITE_RETRY_DELAY_S = 0.2
 JOIN_RETRY_INTERVAL_S = 0.3
 FAULTS = ("kill", "wipe", "cut", "one_way", "slow", "all")
-LEADER_FAULT_SHARE = 0.6  # of the faults hit the leader on purpose; others may hit it by chance
+LEADER_FAULT_SHARE = 0.6  # share of the faults that target the leader; the others hit a random machine
 
 
 class ReplicaGroup:
@@ -58,12 +58,12 @@
         self.fault_tolerance = (machines - 1) // 2 if fault_tolerance is None else fault_tolerance
         self.compact_after_entries = compact_after_entries
         self.links = links
-        self.disk_bytes_per_s = 0.0  # 0: only syncs take time
+        self.disk_bytes_per_s = 0.0  # of each disk; 0: unlimited, only syncs take time
         self.step_s = STEP_S
         self.body_bytes = 0  # minimum size of each configuration
         self.snapshots_installed = 0
-        self.disk_bytes = 0  # written on all disks
-        self._snapshots: dict[int, bytes] = {}  # by index: state machine in a snapshot
+        self.disk_bytes = 0  # written to all disks while `disk_bytes_per_s` is set
+        self._snapshots: dict[int, bytes] = {}  # by last index: the encoded state machine
         self.rng = random.Random(seed)
         self.now = 0.0
         self.machines = [
@@ -117,7 +117,7 @@
             machine.replica.bootstrap()
 
     def kill(self, machine_index: int) -> None:
-        """Kill a machine; what is not synced is lost, as in a power loss."""
+        """Kill a machine. Unsynced writes are lost, as in a loss of power."""
         machine = self.machines[machine_index]
         machine.replica = None
         machine.batch_in_flight = None
@@ -154,7 +154,7 @@
                     self.kill(index)
 
     def restore(self) -> None:
-        """Heal the network and start all machines that are down; what was wiped stays empty."""
+        """Heal the network and slow disks, and start all machines that are down. Wiped disks stay empty."""
         self.heal()
         for machine_index, machine in enumerate(self.machines):
             machine.sync_s = DISK_SYNC_S
@@ -162,7 +162,7 @@
                 self.start(machine_index)
 
     def pick_victim(self) -> int:
-        """Return the index of a machine to fail, the leader's more often than not."""
+        """Return the index of a machine to fail: with LEADER_FAULT_SHARE the leader, else a random one."""
         leader = self.leader()
         victim = self.rng.randrange(len(self.machines))
         return leader if leader is not None and self.rng.random() < LEADER_FAULT_SHARE else victim
@@ -170,7 +170,7 @@
     # --- steps ---
 
     def leader(self) -> int | None:
-        """Return the index of a machine whose replica leads and may accept."""
+        """Return the index of a machine whose replica leads and may accept proposals; None: there is none."""
         for machine_index, machine in enumerate(self.machines):
             if machine.replica is not None and machine.replica.may_accept():
                 return machine_index
@@ -189,7 +189,7 @@
         return True
 
     def configure(self) -> bool:
-        """Propose the next configuration, based on the newest that was accepted."""
+        """Propose the next configuration, based on the newest accepted one."""
         machine_index = self.leader()
         if machine_index is None:
             return False
@@ -204,12 +204,12 @@
             self._step()
 
     def run_until_leader(self, within_s: float = 5.0) -> float:
-        """Run until a replica leads and return the seconds it took. Raises InvariantError."""
+        """Run until a replica leads and return the elapsed seconds. Raises InvariantError."""
         started_at = self.now
         while self.leader() is None:
             self._step()
             if self.now - started_at > within_s:
-                raise InvariantError(f"seed {self.seed}: nobody leads after {within_s} s")
+                raise InvariantError(f"seed {self.seed}: no leader after {within_s} s")
         return self.now - started_at
 
     def _step(self) -> None:
@@ -265,7 +265,7 @@
                 self._in_flight.append((due_at, self._sequence_number, machine_index, to, outgoing.message))
 
     def on_sent(self, machine_index: int, replica: Replica, message: object) -> None:
-        """Hook for subclasses: called for each message that is sent."""
+        """Hook for subclasses, called for each message that is sent."""
 
     def _complete_write(self, machine: Machine, replica: Replica) -> None:
         batch, machine.batch_in_flight = machine.batch_in_flight, None
@@ -306,7 +306,7 @@
         )
 
     def _on_applied(self, index: int, change: Change, result: ApplyResult) -> None:
-        """Hook for subclasses: called for each result that the proposer of a change learns."""
+        """Hook for subclasses, called with the result of each change at the replica that proposed it."""
         self.acknowledged.append((index, change))
 
     # --- checks ---
@@ -326,7 +326,9 @@
                 entry = replica.log.entry(index)
                 first_seen = self._committed.setdefault(index, (entry.term, entry.change))
                 if first_seen != (entry.term, entry.change):
-                    raise InvariantError(f"seed {self.seed}: entry {index} was committed twice, unlike")
+                    raise InvariantError(
+                        f"seed {self.seed}: entry {index} was committed twice, with different contents"
+                    )
 
     def _check_snapshot(self, index: int, snapshot: bytes) -> None:
         if self._snapshots.setdefault(index, snapshot) != snapshot:
@@ -336,7 +338,7 @@
         """Raise InvariantError unless a leader's state has everything that was acknowledged."""
         machine_index = self.leader()
         if machine_index is None:
-            raise InvariantError(f"seed {self.seed}: nobody leads")
+            raise InvariantError(f"seed {self.seed}: there is no leader")
         state = self.machines[machine_index].state
         for index, change in self.acknowledged:
             match change:
@@ -350,7 +352,7 @@
                     pass
 
     def _was_accepted(self, index: int) -> bool:
-        """Tell whether the configuration at an index was accepted, since its base was the newest revision."""
+        """Tell whether the configuration at an index was accepted: its base was the newest revision."""
         newest = 0
         for committed_index in sorted(self._committed):
             change = self._committed[committed_index][1]
@@ -366,5 +368,5 @@
 
 
 def _encode_and_decode(message: Any) -> Any:
-    """Return a message as its receiver decodes it: two members share nothing."""
+    """Return a message as its receiver decodes it, so that two members share no objects."""
     return FrameDecoder().feed(encode(Frame(0, False, message)))[0].message
--- a/simulation/second_losses.py
+++ b/simulation/second_losses.py
@@ -1,10 +1,10 @@
-"""Second losses after each kind of repair, in virtual time: is anything lost, does service resume in time?
+"""Second losses after each kind of repair, in virtual time: nothing may be lost, and service must resume.
 
 As many members as `fault_tolerance` allows are lost at once, each on one of LOSS_PATHS. Each of them returns
 or is replaced. `CATCH_UP_S` later they no longer count as lost, and as many other members are lost at once,
 in some scenarios together with a power failure of all. With a fault tolerance of two, the second member may
 also be lost while the first one is being repaired. Changes and claims are submitted all the time. During the
-repair it is checked all the time how many further losses the group could tolerate.
+repair it is checked, every CHECK_INTERVAL_S, whether the group tolerates `fault_tolerance` further losses.
 
     python -m simulation.second_losses [SCENARIOS]
 """
@@ -30,14 +30,14 @@
 from simulation.replica_group import JOIN_RETRY_INTERVAL_S
 
 CATCH_UP_S = 4.0
-# From the second loss, or the return of power, until a claim is acknowledged again.
+# Limit from the second losses, or the return of power, until a claim is acknowledged again.
 SERVICE_RESUMES_MAX_S = 3.0
 SHUTDOWN_S = 1.2  # from SIGTERM to the end of the process
 CHECK_INTERVAL_S = 0.02
-# How a member is lost and what replaces it. "spare": it is killed for good, without a replacement.
+# How a member is lost and what replaces it. "spare": it never returns and is not replaced.
 LOSS_PATHS = ("killed", "cut off", "wiped", "replaced", "replaced in order", "spare")
 SECOND_LOSSES = ("kill", "wipe", "cut", "wipe and power")
-SIZES = ((3, 1), (6, 2), (7, 2))  # machines and how many may be lost at once
+SIZES = ((3, 1), (6, 2), (7, 2))  # machines and fault tolerance
 
 
 @dataclass(frozen=True)
@@ -48,7 +48,7 @@
     machines: int
     fault_tolerance: int
     paths: tuple[str, ...]  # of the members that are lost first, one or two of LOSS_PATHS
-    between_losses_s: float  # between these two losses
+    between_losses_s: float  # time between the losses of `paths`
     after_catch_up_s: float  # delay of the second losses beyond `CATCH_UP_S`
     second: str  # one of SECOND_LOSSES
 
@@ -177,7 +177,7 @@
         self.start(len(self.machines) - 1)
 
     def leave(self, machine_index: int) -> None:
-        """Shut a member down after SIGTERM: hand over leadership, ask to be removed, end."""
+        """Shut a member down as after SIGTERM: transfer leadership, ask to be removed, exit."""
         replica = self.machines[machine_index].replica
         assert replica is not None
         replica.retire()
@@ -227,7 +227,7 @@
         while len(self.acknowledged) == before:
             if self.now - started_at > SERVICE_RESUMES_MAX_S:
                 raise InvariantError(
-                    f"nothing is acknowledged {SERVICE_RESUMES_MAX_S} s after the second loss"
+                    f"no claim is acknowledged within {SERVICE_RESUMES_MAX_S} s of the second losses"
                 )
             self._keys += 1
             self.propose(Claim(f"k{self._keys}", f"c{self._keys}", "h"))
@@ -278,7 +278,7 @@
 
 
 def summarize(outcomes: Sequence[ScenarioOutcome]) -> dict[str, object]:
-    """Summarize scenarios.
+    """Return the figures of scenarios.
 
     The times in `short_s` are seconds after the return in which the group tolerated fewer losses than
     configured.
--- a/simulation/session_explorer.py
+++ b/simulation/session_explorer.py
@@ -1,6 +1,6 @@
 """Exploration of the session model: openings, all states to a depth, random walks.
 
-An opening is a prefix of steps, from which a short exploration reaches deep states.
+An opening is a sequence of first steps, so that a short exploration after it reaches deep states.
 
     python -m simulation.session_explorer [DEPTH [MEMBERS]]   all states to a depth after each opening
 """
@@ -31,10 +31,11 @@
 
 
 def opening_steps(name: str, members: int) -> list[Step]:
-    """Return the steps of one of OPENINGS. Replica 0 leads; replica 1 where another does."""
-    voters_for_1 = frozenset(range(2, members // 2 + 2))  # a majority with 1, and without 0
+    """Return the steps of one of OPENINGS. Replica 0 leads; where another replaces it, that is replica 1."""
+    # Together with replica 1 a majority without replica 0.
+    voters_for_1 = frozenset(range(2, members // 2 + 2))
     submitted: list[Step] = [SessionStep("submit", 0, order=0)]
-    # On one follower's disk and not on the leader's: no replica knows whether it is committed.
+    # On one follower's disk and not on the leader's, so no replica can tell whether it is committed.
     on_one_follower: list[Step] = [
         SessionStep("submit", 0, order=0, hung_disk=0),
         Step("send once", 0, frozenset({1}), hung_disk=0),
@@ -54,7 +55,7 @@
 
 
 def state_after_opening(name: str, members: int = 3, limits: SessionLimits | None = None) -> SessionWorld:
-    """Return the state behind an opening; the limits count from there."""
+    """Return the state after an opening; the limits apply from there on."""
     world = SessionWorld.with_leader(members, replace(LIMITS), SessionLimits())
     world = world.apply_steps(*opening_steps(name, members))
     world.session_limits = limits or SessionLimits()
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExplorationResult:
-    """How much was explored, and what did not hold."""
+    """How much was explored, and the violation if there is one."""
 
     states: int
     response_count: int  # responses that were checked
@@ -73,9 +74,9 @@
 def explore_sessions(
     opening: str, depth: int, members: int = 3, first_step: int | None = None
 ) -> ExplorationResult:
-    """Visit all states to a depth behind an opening, each once.
+    """Visit all states to a depth after an opening, each once.
 
-    `first_step`: only those behind the first step of that number.
+    `first_step`: index of the only first step to take; by default all are taken.
     """
     start = state_after_opening(opening, members)
     level: list[World] = [start]
@@ -132,7 +133,7 @@
 
 
 def main(depth: int, members: int) -> int:
-    """Explore from all openings and print the counts; 1 if something did not hold."""
+    """Explore from all openings and print the counts. Returns 1 if there is a violation."""
     with Pool(2) as pool:
         results = pool.starmap(explore_sessions, exploration_jobs(depth, members), chunksize=1)
     for result in results:
--- a/simulation/snapshot_schedules.py
+++ b/simulation/snapshot_schedules.py
@@ -24,7 +24,7 @@
 
 @contextmanager
 def small_chunks() -> Iterator[None]:
-    """Make chunks so small that a snapshot takes many, and make a follower ten entries behind need one."""
+    """Patch limits: a snapshot takes many chunks, and a follower ten entries behind needs a snapshot."""
     with ExitStack() as stack:
         stack.enter_context(mock.patch.object(chunked_transfer, "CHUNK_BYTES", CHUNK_BYTES))
         stack.enter_context(mock.patch.object(snapshots, "RETAINED_MAX_BYTES", RETAINED_MAX_BYTES))
@@ -41,7 +41,7 @@
 
 
 def run_snapshot_schedule(seed: int, seconds: float = 8.0) -> ReplicaGroup:
-    """Play one schedule. Raises InvariantError."""
+    """Run one schedule. Raises InvariantError."""
     machines = 3 if seed % 2 else 5
     with small_chunks():
         return run_schedule(seed, machines, seconds, make_group_with_snapshots(seed, machines))
