--- a/simulation/isolated_replica.py
+++ b/simulation/isolated_replica.py
@@ -61,7 +61,7 @@
     return configuration(revision, [route("idempotent"), route(tag)])
 
 
-def contradictions(calls: Iterable[Call]) -> list[str]:
+def find_contradictions(calls: Iterable[Call]) -> list[str]:
     """Return the violations: combinations of responses that a single register can't give."""
     calls = list(calls)
     accepted_at: dict[bytes, float] = {}  # by body: when it was first acknowledged
@@ -237,7 +237,7 @@
             self.report.violations.append(
                 f"the final read returned {read.status} {read.body[:40]!r}, not revision {self._revision}"
             )
-        self.report.violations += contradictions([*self.operator.calls, *self.isolated_operator.calls])
+        self.report.violations += find_contradictions([*self.operator.calls, *self.isolated_operator.calls])
 
 
 def run_partition(seed: int, kind: str, is_leader: bool, machines: int = 3) -> PartitionReport:
--- a/simulation/linearizability.py
+++ b/simulation/linearizability.py
@@ -223,8 +223,8 @@
         return self.rng.choice(leading) if leading else None
 
     def _pick_running(self) -> int | None:
-        up = [machine_index for machine_index, machine in enumerate(self.machines) if machine.is_up]
-        return self.rng.choice(up) if up else None
+        running = [machine_index for machine_index, machine in enumerate(self.machines) if machine.is_up]
+        return self.rng.choice(running) if running else None
 
     def _start_operation(self, client: Client) -> None:
         if self.rng.random() < 0.5:
--- a/simulation/model_checker.py
+++ b/simulation/model_checker.py
@@ -99,7 +99,9 @@
     return steps
 
 
-def explore_all(members: int, depth: int, limits: FaultLimits | None = None, processes: int = 8) -> int:
+def explore_in_parallel(
+    members: int, depth: int, limits: FaultLimits | None = None, processes: int = 8
+) -> int:
     """Run `explore` in several processes. A state that several first steps lead to is counted for each."""
     first_step_count = len(list(World.established(members, limits).possible_steps()))
     with Pool(processes) as pool:
@@ -108,7 +110,9 @@
 
 def main(depth: int) -> int:
     """Print how many states a group of three members has within a depth."""
-    print(msgspec.json.encode({"members": 3, "depth": depth, "states": explore_all(3, depth)}).decode())
+    print(
+        msgspec.json.encode({"members": 3, "depth": depth, "states": explore_in_parallel(3, depth)}).decode()
+    )
     return 0
 
 
--- a/simulation/model_invariants.py
+++ b/simulation/model_invariants.py
@@ -45,8 +45,8 @@
             world.committing_terms.setdefault(index, replica.term)
             if world.committed.setdefault(index, (entry.term, entry.change)) != (entry.term, entry.change):
                 world.fail(f"entry {index} was committed twice, with different contents")
-        for other, other_replica in logs[:node_index]:
-            _check_match(world, node_index, replica, other, other_replica)
+        for other_index, other_replica in logs[:node_index]:
+            _check_log_matching(world, node_index, replica, other_index, other_replica)
     for node_index, replica in logs:
         if replica.role is Role.LEADER:
             for index, (term, change) in world.committed.items():
@@ -55,13 +55,15 @@
                 if replica.log.term_at(index) != term or replica.log.entry(index).change != change:
                     world.fail(f"leader {node_index} lacks entry {index}, which was committed")
 
-    on_disk = {node.id: node.log() for node in world.nodes}
-    _check_further_losses(world, on_disk)
-    _check_majorities(world, before, on_disk)
-    _check_membership_changes(world, on_disk)
+    durable_logs = {node.id: node.log() for node in world.nodes}
+    _check_further_losses(world, durable_logs)
+    _check_majorities(world, before, durable_logs)
+    _check_membership_changes(world, durable_logs)
 
 
-def _check_match(world: World, node_index: int, replica: Replica, other: int, other_replica: Replica) -> None:
+def _check_log_matching(
+    world: World, node_index: int, replica: Replica, other_index: int, other_replica: Replica
+) -> None:
     logs = replica.log, other_replica.log
     lowest = max(log.base_index for log in logs)
     for index in range(min(log.last_index for log in logs), lowest, -1):
@@ -69,7 +71,7 @@
             # A compacted log can be checked only after its base.
             shared = [log.entries_after(lowest, index - lowest) for log in logs]
             if shared[0] != shared[1]:
-                world.fail(f"logs of {node_index} and {other} differ below entry {index}")
+                world.fail(f"logs of {node_index} and {other_index} differ below entry {index}")
             return
 
 
@@ -121,7 +123,7 @@
             continue
         was_leading = earlier is not None and earlier.role is Role.LEADER and earlier.term == replica.term
         voters = {voter.id for voter in replica.voters}
-        missing = len(voters - logs.keys())  # lost voters may have stored the entry
+        lost_voters = len(voters - logs.keys())  # lost voters may have stored the entry
         if not was_leading and earlier is not None and earlier.term != replica.term:
             votes = sum(other.id in voters and other.voted_for(replica) for other in world.nodes)
             if votes < replica.majority():
@@ -131,7 +133,7 @@
         if earlier is not None and replica.committed > earlier.committed:
             term = replica.log.term_at(replica.committed)
             copies = sum(has_entry(logs[id], replica.committed, term) for id in voters & logs.keys())
-            if copies + missing < replica.majority():
+            if copies + lost_voters < replica.majority():
                 world.fail(
                     f"entry {replica.committed} is committed with copies on {copies} of {len(voters)} voters"
                 )
--- a/simulation/model_keys.py
+++ b/simulation/model_keys.py
@@ -41,13 +41,13 @@
                     len(replica.outbox),
                     sorted((id, peer.next_index, peer.match_index) for id, peer in replica.followers.items()),
                     replica.role is Role.LEADER and replica.membership.is_reconfiguring,
-                    _by_last_seen(replica, world.fault_tolerance),
+                    _followers_by_last_seen(replica, world.fault_tolerance),
                 )
             )
     return msgspec.msgpack.encode(parts)
 
 
-def _by_last_seen(replica: Replica, fault_tolerance: int) -> list[str]:
+def _followers_by_last_seen(replica: Replica, fault_tolerance: int) -> list[str]:
     """Return the followers, least recently seen first, if that order decides which voter is demoted."""
     if replica.role is not Role.LEADER or len(replica.members) <= 2 * fault_tolerance + 1:
         return []
--- a/simulation/model_steps.py
+++ b/simulation/model_steps.py
@@ -53,11 +53,11 @@
     `is_fine_grained`: also yield the two phases of an election, single appends, leadership transfers and
     leave requests.
     """
-    up = [node_index for node_index, node in enumerate(world.nodes) if node.replica is not None]
-    for actor in up:
+    running = [node_index for node_index, node in enumerate(world.nodes) if node.replica is not None]
+    for actor in running:
         replica = world.nodes[actor].replica
         assert replica is not None
-        others = [node_index for node_index in up if node_index != actor]
+        others = [node_index for node_index in running if node_index != actor]
         is_member = replica.is_member(replica.me.id)
         for reached in _subsets(others):
             for hung_disk in (-1, actor, *sorted(reached)):
--- a/simulation/planted_snapshot_defects.py
+++ b/simulation/planted_snapshot_defects.py
@@ -98,11 +98,16 @@
     send_append_reply = Replica.send_append_reply
 
     def reply_before_sync(
-        self: Replica, address: str, success: bool, index: int, *rest: Any, **more: Any
+        self: Replica, address: str, success: bool, index: int, *arguments: Any, **options: Any
     ) -> None:
         is_snapshot = index == self.log.snapshot_index
         send_append_reply(
-            self, address, success, index, rest[0], more.get("after_writes", False) and not is_snapshot
+            self,
+            address,
+            success,
+            index,
+            arguments[0],
+            options.get("after_writes", False) and not is_snapshot,
         )
 
     return mock.patch.object(Replica, "send_append_reply", reply_before_sync)
--- a/simulation/recorded_run.py
+++ b/simulation/recorded_run.py
@@ -168,10 +168,10 @@
     if guarantee.index and durable_state.term <= guarantee.term:
         base = durable_state.snapshot.last_index if durable_state.snapshot else 0
         index = guarantee.index - base - 1
-        has_it = index < 0 or (
+        is_recovered = index < 0 or (
             index < len(durable_state.entries) and durable_state.entries[index].term == guarantee.index_term
         )
-        if not has_it:
+        if not is_recovered:
             return f"entry {guarantee.index}, which was acknowledged, is lost"
     return ""
 
@@ -214,7 +214,7 @@
         with recorder.recording():
             group = DiskRecordedGroup(seed, recorder)
             try:
-                _play_faults(group, rng)
+                _inject_faults(group, rng)
             finally:
                 disk = group.machines[0].disk
                 assert isinstance(disk, FileDisk) and disk.log_file is not None
@@ -224,7 +224,7 @@
         )
 
 
-def _play_faults(group: DiskRecordedGroup, rng: random.Random) -> None:
+def _inject_faults(group: DiskRecordedGroup, rng: random.Random) -> None:
     group.body_bytes = BODY_BYTES
     group.run_until_leader()
     group.run(1.0)
--- a/simulation/second_losses.py
+++ b/simulation/second_losses.py
@@ -50,7 +50,7 @@
     paths: tuple[str, ...]  # of the members that are lost first, one or two of LOSS_PATHS
     between_losses_s: float  # time between the losses of `paths`
     after_catch_up_s: float  # delay of the second losses beyond `CATCH_UP_S`
-    second: str  # one of SECOND_LOSSES
+    second_loss: str  # one of SECOND_LOSSES
 
 
 @dataclass(frozen=True)
@@ -271,7 +271,7 @@
         group.end_loss(path, machine_index)
     group.run_with_traffic(CATCH_UP_S + scenario.after_catch_up_s)
     reduced_tolerance_s = max(group.reduced_tolerance_until - returned_at, 0.0)
-    group.inject_second_losses(scenario.second, group.pick_victims(scenario.fault_tolerance))
+    group.inject_second_losses(scenario.second_loss, group.pick_victims(scenario.fault_tolerance))
     group.wait_until_acknowledging()
     group.history.check()
     return reduced_tolerance_s
--- a/stories/control/test_leader_contact.py
+++ b/stories/control/test_leader_contact.py
@@ -18,7 +18,7 @@
 from cometdoor.wire.keys import ClaimRequest
 from cometdoor.wire.log_entries import Claim
 from simulation.crc_collisions import PADDING_LETTERS, make_crc32_collision
-from simulation.isolated_replica import PARTITION_KINDS, contradictions, make_body, run_partition
+from simulation.isolated_replica import PARTITION_KINDS, find_contradictions, make_body, run_partition
 from simulation.mesh import SimulatedMesh, simulated_mesh
 from simulation.operators import Call, FleetOperator, Order
 from standins.http_client import http_request
@@ -74,7 +74,7 @@
             return [call.status for call in await asyncio.gather(*asks)]
 
         assert set(mesh.run(ask_frozen())) <= {0, 307, 503}
-        assert not contradictions([*others.calls, *frozen.calls])
+        assert not find_contradictions([*others.calls, *frozen.calls])
         # Nor does it accept a claim, or lease shares of the retry budget
         assert [type(reply) for reply in replies] == [CallRejected, CallRejected], replies
 
@@ -270,7 +270,7 @@
         mesh.run(all_of_them())
         calls = [call for caller in callers for call in caller.calls]
         orders = [call for call in calls if call.order is not None]
-        assert not contradictions(calls)
+        assert not find_contradictions(calls)
         assert any(call.status == 200 for call in orders) and {call.status for call in orders} <= {200, 412}
         # Many accepted changes were acknowledged several times before a response arrived
         repeated_acknowledgements = [
--- a/stories/control/test_second_losses.py
+++ b/stories/control/test_second_losses.py
@@ -31,7 +31,7 @@
 
 @test("runs go through all second losses in turn")
 def _() -> None:
-    assert {make_scenario(number).second for number in range(200)} == set(SECOND_LOSSES)
+    assert {make_scenario(number).second_loss for number in range(200)} == set(SECOND_LOSSES)
 
 
 @test("the history shows a member that is counted before it has the log")
