--- a/simulation/disk_recorder.py
+++ b/simulation/disk_recorder.py
@@ -127,7 +127,7 @@
         self.operations.append(operation)
 
     def write(self, file: Any, name: str, data: bytes) -> None:
-        """Write and record bytes. Raises OSError if `should_fail` says so."""
+        """Write and record bytes. Raises OSError if `should_fail` selects the operation."""
         if not data:
             return
         offset = file.tell()
