--- a/cometdoor/discovery/program.py
+++ b/cometdoor/discovery/program.py
@@ -29,10 +29,10 @@
     try:
         new = load_config()
     except ConfigError as problem:
-        log.error("the configuration stays as it was: %s", problem)
+        log.error("the new configuration is invalid; the current one stays in force: %s", problem)
         return
     if names := fields_requiring_restart(running, new):
-        log.warning("changed, but used only after a restart: %s", ", ".join(names))
+        log.warning("these settings have changed and apply only after a restart: %s", ", ".join(names))
     node.discovery.set_address(new.discovery)
 
 
@@ -51,7 +51,7 @@
         node.frontend, node.service, min(longest_deadline_s, MAX_DRAIN_S) + KILL_AFTER_S - KILL_MARGIN_S
     )
     node.stop()
-    log.info("%s ends", config.name)
+    log.info("%s stopped", config.name)
 
 
 async def run(config: NodeConfig) -> None:
--- a/cometdoor/planning/serve.py
+++ b/cometdoor/planning/serve.py
@@ -203,7 +203,7 @@
         for fleet in self.fleets:
             fleet.channel.keys = keys
         if msgspec.structs.replace(file, keys=self._file.keys) != self._file:
-            log.warning("settings other than the keys have changed; they take effect only after a restart")
+            log.warning("settings other than the keys have changed; they apply only after a restart")
         log.info(
             "keys %s are accepted; new messages are sealed with key %d",
             ", ".join(map(str, sorted(keys.known))),
@@ -233,4 +233,4 @@
     )
     await stopping.wait()
     planner_server.stop()
-    log.info("ends")
+    log.info("stopped")
--- a/cometdoor/services/serve.py
+++ b/cometdoor/services/serve.py
@@ -75,7 +75,7 @@
             return load_settings(self._path)
         except SettingsError as problem:
             _log_problems(problem)
-            log.error("%d problems: the configuration stays as it was", len(problem.problems))
+            log.error("%d problems; the current configuration stays in force", len(problem.problems))
             return None
 
     @staticmethod
@@ -86,7 +86,7 @@
             file, keys = load_forwarders(path)
         except SettingsError as problem:
             _log_problems(problem)
-            log.error("%d problems: the keys stay as they were", len(problem.problems))
+            log.error("%d problems; the current keys stay in use", len(problem.problems))
             return
         planner_transports.change_keys(keys)
         if (file.forwarder, file.service) != (
@@ -103,11 +103,14 @@
             reload_plan = self._services.apply(settings)
         except Exception:
             # The configuration passed validation, but an instance could not be created from it.
-            log.exception("the configuration stays as it was")
+            log.exception("the new configuration could not be applied; the current one stays in force")
             return
         elapsed_ms = (asyncio.get_running_loop().time() - started_at) * 1000.0
         if reload_plan.requires_restart:
-            log.warning("changed, but used only after a restart: %s", ", ".join(reload_plan.requires_restart))
+            log.warning(
+                "these settings have changed and apply only after a restart: %s",
+                ", ".join(reload_plan.requires_restart),
+            )
         log.info("applied in %.1f ms: %s", elapsed_ms, reload_plan.describe())
 
 
@@ -157,4 +160,4 @@
     await stopping.wait()
     await drain_and_stop(services.frontend, services, services.longest_deadline_s())
     services.stop()
-    log.info("ends")
+    log.info("stopped")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -152,7 +152,7 @@
         call = await backend.next()
         path = tmp_path / "config.json"
         for text, expected_message in (
-            ("{", b"stays as it was"),
+            ("{", b"the new configuration is invalid; the current one stays in force"),
             (
                 json.dumps({**config, "discovery": new.address, "listen": "127.0.0.1:1"}),
                 b"after a restart: listen",
