--- a/stories/control/test_accepted_configurations.py
+++ b/stories/control/test_accepted_configurations.py
@@ -21,15 +21,15 @@
 BODY = b'{"name": "' + PADDING + b'"}'
 
 
-def make_state(*orders: ConfigurationChange) -> StateMachine:
+def make_state(*changes: ConfigurationChange) -> StateMachine:
     state = StateMachine(60.0)
-    for order in orders:
-        state.apply(order)
+    for change in changes:
+        state.apply(change)
     return state
 
 
-def status(state: StateMachine, order: ConfigurationChange) -> int:
-    return build_replace_response(order, state.apply(order)).status
+def apply_change(state: StateMachine, change: ConfigurationChange) -> int:
+    return build_replace_response(change, state.apply(change)).status
 
 
 def restore_from_snapshot(state: StateMachine) -> StateMachine:
@@ -46,33 +46,33 @@
     state = make_state(ConfigurationChange(0, 5, BODY))
     if from_snapshot:
         state = restore_from_snapshot(state)
-    assert status(state, ConfigurationChange(0, 5, BODY)) == 200
-    assert status(state, ConfigurationChange(0, 5, other)) == 412
+    assert apply_change(state, ConfigurationChange(0, 5, BODY)) == 200
+    assert apply_change(state, ConfigurationChange(0, 5, other)) == 412
     # Also after later changes
     state.apply(ConfigurationChange(5, 6, b"six"))
-    assert status(state, ConfigurationChange(0, 5, BODY)) == 200
-    assert status(state, ConfigurationChange(0, 5, other)) == 412 and state.revision == 6
+    assert apply_change(state, ConfigurationChange(0, 5, BODY)) == 200
+    assert apply_change(state, ConfigurationChange(0, 5, other)) == 412 and state.revision == 6
 
 
 @test("a change on an outdated base is rejected each time it is sent")
 def _() -> None:
-    late = ConfigurationChange(5, 7, b"late")
+    stale = ConfigurationChange(5, 7, b"late")
     state = make_state(ConfigurationChange(0, 5, b"five"), ConfigurationChange(5, 6, b"six"))
-    assert [status(state, late), status(restore_from_snapshot(state), late)] == [412, 412]
-    assert status(state, ConfigurationChange(6, 6, b"again six")) == 400
+    assert [apply_change(state, stale), apply_change(restore_from_snapshot(state), stale)] == [412, 412]
+    assert apply_change(state, ConfigurationChange(6, 6, b"again six")) == 400
 
 
 @test("after thousands of changes each remembered one is recognised, and no older one is rejected")
 def _() -> None:
     count = MAX_REMEMBERED_REVISIONS + 500
-    orders = [ConfigurationChange(at, at + 1, b"%d" % at) for at in range(count)]
-    state = restore_from_snapshot(make_state(*orders))
+    changes = [ConfigurationChange(base, base + 1, b"%d" % base) for base in range(count)]
+    state = restore_from_snapshot(make_state(*changes))
     # Then those still remembered are acknowledged, and the others are left undecided
-    assert {status(state, order) for order in orders[-MAX_REMEMBERED_REVISIONS:]} == {200}
-    assert {status(state, order) for order in orders[:-MAX_REMEMBERED_REVISIONS]} == {503}
+    assert {apply_change(state, change) for change in changes[-MAX_REMEMBERED_REVISIONS:]} == {200}
+    assert {apply_change(state, change) for change in changes[:-MAX_REMEMBERED_REVISIONS]} == {503}
     # And a change that was never accepted is rejected
-    assert status(state, ConfigurationChange(count - 1, count, b"another")) == 412
-    assert status(state, ConfigurationChange(count, count - 5, b"older")) == 400
+    assert apply_change(state, ConfigurationChange(count - 1, count, b"another")) == 412
+    assert apply_change(state, ConfigurationChange(count, count - 5, b"older")) == 400
     assert len(state.snapshot()) < 160_000
 
 
@@ -80,18 +80,19 @@
     "a snapshot of an earlier build: the configuration in force is known by its content, no other is rejected"
 )
 def _() -> None:
-    old = StateMachineSnapshot(6, b"six", [(5, crc32(BODY)), (6, crc32(b"six"))], 0, [])
-    fields = msgspec.msgpack.decode(msgspec.msgpack.encode(old))[:6]  # the fields of an earlier build
+    former_snapshot = StateMachineSnapshot(6, b"six", [(5, crc32(BODY)), (6, crc32(b"six"))], 0, [])
+    # An earlier build wrote only the first six fields
+    fields = msgspec.msgpack.decode(msgspec.msgpack.encode(former_snapshot))[:6]
     state = StateMachine(60.0)
     state.load(msgspec.msgpack.encode(fields))
     assert state.revision == 6 and state.body == b"six"
-    assert status(state, ConfigurationChange(5, 6, b"six")) == 200
+    assert apply_change(state, ConfigurationChange(5, 6, b"six")) == 200
     assert (
-        status(state, ConfigurationChange(0, 5, BODY))
+        apply_change(state, ConfigurationChange(0, 5, BODY))
         == 503
-        == status(state, ConfigurationChange(0, 5, make_crc32_collision(BODY, PADDING)))
+        == apply_change(state, ConfigurationChange(0, 5, make_crc32_collision(BODY, PADDING)))
     )
-    assert status(state, ConfigurationChange(0, 5, b"another")) == 412
+    assert apply_change(state, ConfigurationChange(0, 5, b"another")) == 412
     # And an earlier build reads ours: the fields that it knows have their old positions
     fields = msgspec.msgpack.decode(make_state(ConfigurationChange(0, 5, BODY)).snapshot())
     assert fields[0] == 5 and fields[2] == [[5, crc32(BODY)]]
@@ -99,7 +100,7 @@
 
 @test("a rebuilt group recognises configurations that the former group accepted")
 def _() -> None:
-    orders = [
+    changes = [
         ConfigurationChange(0, 3, b"three"),
         ConfigurationChange(3, 5, b"five"),
         ConfigurationChange(5, 9, b"nine"),
@@ -108,9 +109,9 @@
         folder = Path(name)
         log_file = WriteAheadLog(folder / "left")
         log_file.open()
-        entries = [LogEntry(index, 1, order) for index, order in enumerate(orders, 1)]
+        entries = [LogEntry(index, 1, change) for index, change in enumerate(changes, 1)]
         log_file.rotate([Identity("me"), HardState(1, "me"), LogEntries(entries)])
         log_file.close()
         rebuild([folder / "left"], folder / "new", Member("", "a", "c"), 60.0)
         state = read_data_directory(folder / "new").state
-    assert state.revision == 9 and {status(state, order) for order in orders} == {200}
+    assert state.revision == 9 and {apply_change(state, change) for change in changes} == {200}
--- a/stories/control/test_leader_contact.py
+++ b/stories/control/test_leader_contact.py
@@ -52,29 +52,31 @@
 def _(seed: int = each(1, 2, 3)) -> None:
     with simulated_mesh(seed=seed, planes=1) as mesh:
         mesh.run(mesh.start_configured())
-        old = mesh.leader()
+        old_leader = mesh.leader()
         others = make_operator(mesh, *followers(mesh))
-        frozen = make_operator(mesh, old)
+        caller = make_operator(mesh, old_leader)
         # Given a frozen leader, and requests that it receives when it is thawed
         plane = mesh.data_plane(mesh.planes[0])
-        internal_address = mesh.control_plane(old).node_settings.internal_address("controlplane")
+        internal_address = mesh.control_plane(old_leader).node_settings.internal_address("controlplane")
         replies: list[object] = []
-        mesh.freeze(old)
+        mesh.freeze(old_leader)
         mesh.wait(5.0)
         assert mesh.run(others.replace(Order(1, 2, make_body(2, "new")))).status == 200
 
-        async def ask_frozen() -> list[int]:
-            asks = [asyncio.create_task(frozen.request_once(old, None)) for _ in range(3)]
-            asks += [asyncio.create_task(frozen.request_once(old, Order(1, 2, make_body(2, "other"))))]
+        async def send_to_frozen_leader() -> list[int]:
+            requests = [asyncio.create_task(caller.request_once(old_leader, None)) for _ in range(3)]
+            requests += [
+                asyncio.create_task(caller.request_once(old_leader, Order(1, 2, make_body(2, "other"))))
+            ]
             # On a connection of their own: the one that gossip uses is closed at some time, for its silence.
             for message in (ClaimRequest([Claim("key", "claim", "holder")]), LeaseRequest("life", -1.0, [])):
                 plane.connections.call(internal_address, message, replies.append, channel="asks")
             await asyncio.sleep(0.5)
-            mesh.thaw(old)
-            return [call.status for call in await asyncio.gather(*asks)]
+            mesh.thaw(old_leader)
+            return [call.status for call in await asyncio.gather(*requests)]
 
-        assert set(mesh.run(ask_frozen())) <= {0, 307, 503}
-        assert not find_contradictions([*others.calls, *frozen.calls])
+        assert set(mesh.run(send_to_frozen_leader())) <= {0, 307, 503}
+        assert not find_contradictions([*others.calls, *caller.calls])
         # Nor does it accept a claim, or lease shares of the retry budget
         assert [type(reply) for reply in replies] == [CallRejected, CallRejected], replies
 
@@ -91,17 +93,17 @@
         mesh.loop.unpowered.add(leader)
         mesh.wait(0.5)
 
-        async def ask_often() -> list[Call]:
-            asks = [asyncio.create_task(caller.request_once(follower, None))]
+        async def send_requests() -> list[Call]:
+            requests = [asyncio.create_task(caller.request_once(follower, None))]
             await asyncio.sleep(0.1)
             mesh.thaw(follower)
             for _ in range(12):
-                asks.append(asyncio.create_task(caller.request_once(follower, None)))
+                requests.append(asyncio.create_task(caller.request_once(follower, None)))
                 await asyncio.sleep(0.03)
-            return await asyncio.gather(*asks)
+            return await asyncio.gather(*requests)
 
-        exchanges = [call.exchanges[0] for call in mesh.run(ask_often())]
-        assert leader not in {one.location for one in exchanges}, str(exchanges)
+        exchanges = [call.exchanges[0] for call in mesh.run(send_requests())]
+        assert leader not in {exchange.location for exchange in exchanges}, str(exchanges)
 
 
 @test("callers are redirected to a leader only while it is in contact")
@@ -132,7 +134,11 @@
         mesh.kill(mesh.leader())
         call = mesh.run(caller.replace(Order(1, 2, make_body(2, "new"))))
         assert call.status == 200 and call.ended_at - killed_at < 1.6, call.exchanges
-        assert not [one for one in call.exchanges if one.status == 307 and one.ended_at - killed_at < 0.3]
+        assert not [
+            exchange
+            for exchange in call.exchanges
+            if exchange.status == 307 and exchange.ended_at - killed_at < 0.3
+        ]
 
 
 @test("replicas that restart beside a partitioned one do not found a second group")
@@ -261,20 +267,22 @@
                 revision = max(base, revision) + 1
                 await caller.replace(Order(base, revision, make_body(revision, f"by-{index}")), 300.0)
 
-        async def all_of_them() -> None:
+        async def send_all() -> None:
             tasks = [asyncio.create_task(send(caller, index)) for index, caller in enumerate(callers)]
             await asyncio.sleep(3.0)
             mesh.kill(mesh.leader())  # for some changes between their commit and the response
             await asyncio.gather(*tasks)
 
-        mesh.run(all_of_them())
+        mesh.run(send_all())
         calls = [call for caller in callers for call in caller.calls]
         orders = [call for call in calls if call.order is not None]
         assert not find_contradictions(calls)
         assert any(call.status == 200 for call in orders) and {call.status for call in orders} <= {200, 412}
         # Many accepted changes were acknowledged several times before a response arrived
         repeated_acknowledgements = [
-            sum(one.status == 200 for one in call.exchanges) - 1 for call in orders if call.status == 200
+            sum(exchange.status == 200 for exchange in call.exchanges) - 1
+            for call in orders
+            if call.status == 200
         ]
         assert sum(repeated_acknowledgements) >= 5, repeated_acknowledgements
 
@@ -290,17 +298,17 @@
         callers = [make_operator(mesh), make_operator(mesh)]
         orders = [Order(1, 2, first), Order(1, 2, second)]
 
-        async def both() -> list[int]:
+        async def replace_both() -> list[int]:
             tasks = [caller.replace(order) for caller, order in zip(callers, orders, strict=True)]
             return [call.status for call in await asyncio.gather(*tasks)]
 
-        statuses = mesh.run(both())
+        statuses = mesh.run(replace_both())
         assert sorted(statuses) == [200, 412]
-        assert mesh.run(both()) == statuses
+        assert mesh.run(replace_both()) == statuses
         # Also after a later change, and after the loss of its leader
         assert mesh.run(callers[0].replace(Order(2, 3, make_body(3, "top")))).status == 200
         mesh.kill(mesh.leader())
-        assert mesh.run(both()) == statuses
+        assert mesh.run(replace_both()) == statuses
 
 
 CLOCK_FREE_PACKAGES = (
@@ -312,19 +320,19 @@
     "dataplane",
     "http",
 )  # packages whose decisions depend on time
-TIME_OF_DAY = {("time", "time"), ("time", "time_ns"), ("datetime", "now"), ("datetime", "utcnow")}
+WALL_CLOCK_FUNCTIONS = {("time", "time"), ("time", "time_ns"), ("datetime", "now"), ("datetime", "utcnow")}
 
 
 @test("no package that makes decisions reads the time of day, so a step of that clock changes nothing")
 def _() -> None:
     package = Path(__file__).parents[2] / "cometdoor"
-    read = [
+    clock_reads = [
         f"{path}:{node.lineno}"
         for name in CLOCK_FREE_PACKAGES
         for path in sorted((package / name).glob("*.py"))
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Attribute)
         and isinstance(node.value, ast.Name)
-        and (node.value.id, node.attr) in TIME_OF_DAY
+        and (node.value.id, node.attr) in WALL_CLOCK_FUNCTIONS
     ]
-    assert not read, read
+    assert not clock_reads, clock_reads
--- a/stories/control/test_linearizability.py
+++ b/stories/control/test_linearizability.py
@@ -74,7 +74,7 @@
 @test("under message and replica loss configurations are one linearizable register")
 def _(seed: int = each(*range(6))) -> None:
     group = run_observed_schedule(seed, 3 if seed % 2 else 5)
-    assert sum(one.response is not None for one in group.history) >= 100
+    assert sum(operation.response is not None for operation in group.history) >= 100
 
 
 @test("members that answer reads from their own state are detected")
@@ -86,5 +86,7 @@
 @test("under long partitions, pauses and lost answers configurations are one linearizable register")
 def _(seed: int = each(0, 1, 2)) -> None:
     group = run_long_partition_schedule(seed, 3 if seed % 2 else 5, partitions=2)
-    assert group.resend_count >= 50 and sum(one.response is not None for one in group.history) >= 30
+    assert (
+        group.resend_count >= 50 and sum(operation.response is not None for operation in group.history) >= 30
+    )
     assert group.snapshots_installed
--- a/stories/control/test_membership.py
+++ b/stories/control/test_membership.py
@@ -88,7 +88,7 @@
     # Given six machines of which the spare learner and two voters are isolated
     group = make_group(6, 2)
     spare = pick_follower(group, voter=False)
-    cut = [
+    isolated = [
         spare,
         *[
             machine_index
@@ -96,7 +96,7 @@
             if machine_index != group.leader()
         ][:2],
     ]
-    for machine_index in cut:
+    for machine_index in isolated:
         group.isolate(machine_index)
     before = len(group.acknowledged)
     # Then the other three continue
@@ -105,13 +105,13 @@
     assert len(group.acknowledged) == before + 1
     # When a third voter is lost and the spare is back in its place
     group.heal()
-    for machine_index in cut[1:]:
+    for machine_index in isolated[1:]:
         group.isolate(machine_index)
     group.kill(
         next(
             machine_index
             for machine_index in sorted(machine_indexes(group, True))
-            if machine_index not in (group.leader(), *cut)
+            if machine_index not in (group.leader(), *isolated)
         )
     )
     group.run(3.0)
@@ -162,22 +162,24 @@
     # Given a group whose learners are sent nothing
     group = make_group(machines, (machines - 1) // 2)
     wiped = pick_follower(group)
-    id = next(one.id for one in leader(group).members if one.address == group.machines[wiped].address)
+    former_id = next(
+        member.id for member in leader(group).members if member.address == group.machines[wiped].address
+    )
     send_append = Replication.send_append
 
-    def to_voters(self: Replication, member: Member, heartbeat: bool = False) -> None:
+    def send_to_voters(self: Replication, member: Member, heartbeat: bool = False) -> None:
         if member.voter:
             send_append(self, member, heartbeat)
 
     group.wipe(wiped)
-    with mock.patch.object(Replication, "send_append", to_voters):
+    with mock.patch.object(Replication, "send_append", send_to_voters):
         group.start(wiped)
         group.run(2.0)
         # Then it doesn't vote, and the old id is gone
         assert (
             wiped in machine_indexes(group, voter=False) and len(machine_indexes(group, True)) == machines - 1
         )
-        assert not leader(group).is_member(id)
+        assert not leader(group).is_member(former_id)
     # When it is sent the log it votes again
     group.run(1.0)
     assert len(machine_indexes(group, True)) == machines
@@ -215,7 +217,9 @@
 def _() -> None:
     group = make_group(3, 1)
     wiped = pick_follower(group)
-    former = next(one for one in leader(group).members if one.address == group.machines[wiped].address)
+    former = next(
+        member for member in leader(group).members if member.address == group.machines[wiped].address
+    )
     group.wipe(wiped)
     group.start(wiped)
     group.run(3.0)
--- a/stories/control/test_offline_inspection.py
+++ b/stories/control/test_offline_inspection.py
@@ -28,11 +28,11 @@
     return folder
 
 
-def command(*words: str) -> tuple[int, str, str]:
-    done = subprocess.run(
-        [sys.executable, "-m", "cometdoor", *words], capture_output=True, text=True, check=False
+def run_command(*arguments: str) -> tuple[int, str, str]:
+    completed = subprocess.run(
+        [sys.executable, "-m", "cometdoor", *arguments], capture_output=True, text=True, check=False
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 @test("a configuration in force is distinguished from one that only may be")
@@ -40,7 +40,7 @@
     with TemporaryDirectory() as name:
         contents = read_data_directory(make_data_directory(Path(name)))
         assert contents.state.revision == 3 and [
-            one.revision for one in contents.uncommitted_configurations()
+            change.revision for change in contents.uncommitted_configurations()
         ] == [5]
         assert contents.members == ("me@a",) and not contents.faults and not contents.warnings
 
@@ -64,16 +64,16 @@
 def _() -> None:
     with TemporaryDirectory() as name:
         make_data_directory(Path(name))
-        status, out, _ = command("state", "show", name, "--json")
-        assert status == 0 and json.loads(out)["later-revisions"] == [5]
-        status, out, stderr = command("state", "export", name)
-        assert status == 0 and out.encode().strip() == BODY and "revision 5" in stderr
-        assert command("state", "verify", name)[0] == 0
+        status, stdout, _ = run_command("state", "show", name, "--json")
+        assert status == 0 and json.loads(stdout)["later-revisions"] == [5]
+        status, stdout, stderr = run_command("state", "export", name)
+        assert status == 0 and stdout.encode().strip() == BODY and "revision 5" in stderr
+        assert run_command("state", "verify", name)[0] == 0
         next(Path(name).glob("*.dat")).write_bytes(b"\0" * 4 * BLOCK_BYTES)
-        status, out, _ = command("state", "verify", name)
-        assert status == 1 and "no log file contains a complete batch" in out
-    assert command("state", "show", "/nowhere")[0] == 2
-    assert command("members", "127.0.0.1:1")[0] == 1
+        status, stdout, _ = run_command("state", "verify", name)
+        assert status == 1 and "no log file contains a complete batch" in stdout
+    assert run_command("state", "show", "/nowhere")[0] == 2
+    assert run_command("members", "127.0.0.1:1")[0] == 1
 
 
 def write_settings(folder: Path, directory: Path) -> Path:
@@ -97,8 +97,8 @@
         )
         behind.close()
         settings = str(write_settings(folder, folder / "new"))
-        status, out, stderr = command("state", "rebuild", settings, str(folder / "behind"), str(far))
-        assert status == 0 and "configuration 5" in out and "far, the furthest of 2" in out
+        status, stdout, stderr = run_command("state", "rebuild", settings, str(folder / "behind"), str(far))
+        assert status == 0 and "configuration 5" in stdout and "far, the furthest of 2" in stdout
         assert "revision 5: kept" in stderr
         rebuilt = read_data_directory(folder / "new")
         assert (
@@ -112,7 +112,7 @@
             and not rebuilt.faults
         )
         # And no existing file is overwritten
-        assert command("state", "rebuild", settings, str(far))[0] == 1
+        assert run_command("state", "rebuild", settings, str(far))[0] == 1
         assert read_data_directory(folder / "new").durable_state.id == rebuilt.durable_state.id
 
 
@@ -125,9 +125,9 @@
         flipped = bytearray(path.read_bytes())
         flipped[2 * BLOCK_BYTES + 60] ^= 4
         path.write_bytes(bytes(flipped))
-        status, _, stderr = command("state", "rebuild", settings, str(folder / "old"))
+        status, _, stderr = run_command("state", "rebuild", settings, str(folder / "old"))
         assert status == 1 and "lost an acknowledged write" in stderr and not (folder / "new").exists()
         (folder / "none").mkdir()
-        assert command("state", "rebuild", settings, str(folder / "none"))[0] == 1
-        assert command("state", "rebuild", str(folder / "no.toml"), str(folder / "old"))[0] == 2
-        assert command("log", "127.0.0.1:1")[0] == 1
+        assert run_command("state", "rebuild", settings, str(folder / "none"))[0] == 1
+        assert run_command("state", "rebuild", str(folder / "no.toml"), str(folder / "old"))[0] == 2
+        assert run_command("log", "127.0.0.1:1")[0] == 1
--- a/stories/control/test_replica.py
+++ b/stories/control/test_replica.py
@@ -38,7 +38,10 @@
     group = ReplicaGroup(3, 5)
     group.run(2.0)
     assert members(group) == {machine.address for machine in group.machines}
-    assert sum(one.replica is not None and one.replica.role is Role.LEADER for one in group.machines) == 1
+    assert (
+        sum(machine.replica is not None and machine.replica.role is Role.LEADER for machine in group.machines)
+        == 1
+    )
 
 
 @test("nothing is accepted before the group is large enough to survive a loss")
@@ -115,12 +118,12 @@
 @test("a partitioned leader soon accepts nothing, and what it accepted alone is not in force")
 def _() -> None:
     group = make_group(6, 5)
-    old = group.leader()
-    assert old is not None
-    group.isolate(old)
-    group.propose(ConfigurationChange(1, 99, b"lost"), old)
+    old_leader = group.leader()
+    assert old_leader is not None
+    group.isolate(old_leader)
+    group.propose(ConfigurationChange(1, 99, b"lost"), old_leader)
     group.run(3.0)
-    replica = group.machines[old].replica
+    replica = group.machines[old_leader].replica
     assert replica is not None and replica.role is not Role.LEADER
     group.heal()
     group.run_until_leader()
@@ -166,12 +169,12 @@
 @test("a machine that is lost for good is replaced by one at another address")
 def _() -> None:
     group = make_group(10, 3)
-    gone = group.leader()
-    assert gone is not None
-    group.kill(gone)
-    group.machines[gone].address = "10.0.0.9:1"
-    group.wipe(gone)
-    group.start(gone)
+    lost_leader = group.leader()
+    assert lost_leader is not None
+    group.kill(lost_leader)
+    group.machines[lost_leader].address = "10.0.0.9:1"
+    group.wipe(lost_leader)
+    group.start(lost_leader)
     group.run(8.0)
     assert members(group) == {machine.address for machine in group.machines}
     group.check_nothing_lost()
@@ -202,12 +205,14 @@
 
 @test("the checker finds a member that acknowledges before its disk is synced")
 def _() -> None:
-    real = Replica.send
+    original_send = Replica.send
 
-    def hasty(self: Replica, address: str, message: object, after_writes: bool = False) -> None:
-        real(self, address, message, False)
+    def send_without_waiting(
+        self: Replica, address: str, message: object, after_writes: bool = False
+    ) -> None:
+        original_send(self, address, message, False)
 
-    with mock.patch.object(Replica, "send", hasty), raises(InvariantError) as broken:
+    with mock.patch.object(Replica, "send", send_without_waiting), raises(InvariantError) as violation:
         for seed in range(60):
             group = ReplicaGroup(seed, 3)
             group.run_until_leader()
@@ -227,12 +232,12 @@
             group.run_until_leader()
             group.run(0.5)
             group.check_nothing_lost()
-    assert "committed twice" in str(broken.raised)
+    assert "committed twice" in str(violation.raised)
 
 
 @test("the checker finds a wiped disk that counts as the former member")
 def _() -> None:
-    with raises(InvariantError) as broken:
+    with raises(InvariantError) as violation:
         for seed in range(60):
             group = ReplicaGroup(seed, 3)
             group.run_until_leader()
@@ -262,7 +267,7 @@
             wiped.log.members = ahead.members  # as if it were still a member
             group.run_until_leader()
             group.check_nothing_lost()
-    assert "committed twice" in str(broken.raised)
+    assert "committed twice" in str(violation.raised)
 
 
 @test("a group that lost its majority accepts nothing, and forgets nothing")
--- a/stories/control/test_second_losses.py
+++ b/stories/control/test_second_losses.py
@@ -36,11 +36,11 @@
 
 @test("the history shows a member that is counted before it has the log")
 def _() -> None:
-    with MEMBERSHIP_DEFECTS["a joiner votes before it has the log"](), raises(InvariantError) as broken:
+    with MEMBERSHIP_DEFECTS["a joiner votes before it has the log"](), raises(InvariantError) as violation:
         group = MembershipRecordedGroup(1, 3)
         group.run(2.0)
         group.history.check()
-    assert "as a voter" in str(broken.raised)
+    assert "as a voter" in str(violation.raised)
 
 
 A, B, C, D, E = (Member(name, f"{name}:1", "") for name in "abcde")
@@ -52,20 +52,23 @@
 
 def make_history() -> MembershipHistory:
     """Given three voters, of which one is replaced after its disk was lost."""
-    steps = [(A, B, C), (A, B), (A, B, as_learner(D)), (A, B, D), (A, B, D, as_learner(E))]
-    changes = [RecordedChange(index, 1 + index // 3, step, float(index)) for index, step in enumerate(steps)]
+    memberships = [(A, B, C), (A, B), (A, B, as_learner(D)), (A, B, D), (A, B, D, as_learner(E))]
+    changes = [
+        RecordedChange(index, 1 + index // 3, members, float(index))
+        for index, members in enumerate(memberships)
+    ]
     reads = [
-        RecordedRead(2.1, 2.2, steps[2]),
-        RecordedRead(2.1, 3.2, steps[2]),
-        RecordedRead(2.1, 3.2, steps[3]),
+        RecordedRead(2.1, 2.2, memberships[2]),
+        RecordedRead(2.1, 3.2, memberships[2]),
+        RecordedRead(2.1, 3.2, memberships[3]),
     ]
     return MembershipHistory(Sizing(1, 3), changes, reads, {"d": 1.0, "e": 1.0, "c": 0.0}, {"c": 0.5})
 
 
 def check_fails_with(history: MembershipHistory) -> str:
-    with raises(InvariantError) as broken:
+    with raises(InvariantError) as violation:
         history.check()
-    return str(broken.raised)
+    return str(violation.raised)
 
 
 @test("a sound history passes")
@@ -73,9 +76,9 @@
     make_history().check()
 
 
-@test("a history that no sequential group has is detected: {words}")
+@test("a history that no sequential group has is detected: {message}")
 def _(
-    words: str = each(
+    message: str = each(
         "2 members at once",
         "as a voter",
         "has not asked",
@@ -90,22 +93,22 @@
     history = make_history()
     changes = history.changes
 
-    def end_with(*members: Member) -> None:
+    def set_last_members(*members: Member) -> None:
         changes[4] = replace(changes[4], members=members)
 
-    match words:
+    match message:
         case "2 members at once":
-            end_with(A, B, D, as_learner(E), as_learner(C))
+            set_last_members(A, B, D, as_learner(E), as_learner(C))
         case "as a voter":
-            end_with(A, B, D, E)
+            set_last_members(A, B, D, E)
         case "has not asked":
             del history.join_requested_at["e"]
         case "again, whose disk is gone":
-            end_with(A, B, D, as_learner(C))
+            set_last_members(A, B, D, as_learner(C))
         case "whose disk is there":
-            end_with(A, B)
+            set_last_members(A, B)
         case "which is needed":
-            end_with(A, B, as_learner(D))
+            set_last_members(A, B, as_learner(D))
         case "leaves 3 of 4 voters":
             history.sizing = Sizing(2, 5)
             changes.insert(0, RecordedChange(-1, 1, (A, B, C, D), -1.0))
@@ -114,4 +117,4 @@
             changes[4] = replace(changes[4], term=1)
         case _:
             history.reads.append(RecordedRead(3.1, 3.2, changes[2].members))
-    assert words in check_fails_with(history)
+    assert message in check_fails_with(history)
--- a/stories/control/test_session_model.py
+++ b/stories/control/test_session_model.py
@@ -20,8 +20,8 @@
 @test("no long random execution does, with three or five replicas")
 def _() -> None:
     walks = [walk_sessions(seed, 30, 3 if seed % 3 else 5) for seed in range(150)]
-    assert not any(one.violation for one in walks), [one.violation for one in walks if one.violation]
-    assert sum(one.response_count for one in walks) > 200
+    assert not any(walk.violation for walk in walks), [walk.violation for walk in walks if walk.violation]
+    assert sum(walk.response_count for walk in walks) > 200
 
 
 @test("the model checker finds a planted defect: {name}")
--- a/stories/control/test_snapshots.py
+++ b/stories/control/test_snapshots.py
@@ -52,8 +52,10 @@
 
 def split(payload: chunked_transfer.TransferPayload, term: int = 2, size: int = 512) -> list[TransferChunk]:
     return [
-        TransferChunk(term, "m0", "a0", payload.digest, len(payload.data), at, payload.data[at : at + size])
-        for at in range(0, len(payload.data), size)
+        TransferChunk(
+            term, "m0", "a0", payload.digest, len(payload.data), offset, payload.data[offset : offset + size]
+        )
+        for offset in range(0, len(payload.data), size)
     ]
 
 
@@ -78,13 +80,13 @@
     for chunk in first:
         replica.receive(chunk, 100.0)
         assert replica.installed_snapshot is None and replica.log.last_index == 1
-    held = [one.received_bytes for one in pop_sent(replica, TransferChunkAck)]
-    assert held == [512 * count for count in range(1, len(first) + 1)]
+    received_bytes = [message.received_bytes for message in pop_sent(replica, TransferChunkAck)]
+    assert received_bytes == [512 * count for count in range(1, len(first) + 1)]
     replica.receive(last, 100.0)
     assert replica.installed_snapshot is not None and replica.log.last_index == 50
     assert not pop_sent(replica, AppendEntriesReply)
     complete_writes(replica)
-    assert [one.index for one in pop_sent(replica, AppendEntriesReply)] == [50]
+    assert [message.index for message in pop_sent(replica, AppendEntriesReply)] == [50]
 
 
 @test("a heartbeat's answer does not acknowledge a snapshot that is not on disk yet")
@@ -99,9 +101,9 @@
         replica.receive(chunk, 100.0)
     # When a heartbeat comes that begins where the snapshot ends
     replica.receive(AppendEntries(2, "m0", "a0", 50, last_term, [], 50, 9), 100.0)
-    assert not [one for one in pop_sent(replica, AppendEntriesReply) if one.success]
+    assert not [message for message in pop_sent(replica, AppendEntriesReply) if message.success]
     complete_writes(replica)
-    assert {one.index for one in pop_sent(replica, AppendEntriesReply)} == {50}
+    assert {message.index for message in pop_sent(replica, AppendEntriesReply)} == {50}
 
 
 @test("lost, duplicate or reordered chunks are requested again from the follower's offset")
@@ -110,7 +112,7 @@
     all_chunks = split(make_install(50))
     for index in (0, 1, 1, 3, 5, 0):
         replica.receive(all_chunks[index], 100.0)
-    assert [one.received_bytes for one in pop_sent(replica, TransferChunkAck)] == [
+    assert [message.received_bytes for message in pop_sent(replica, TransferChunkAck)] == [
         512,
         1024,
         1024,
@@ -131,13 +133,13 @@
         replica.receive(chunk, 100.0)
     replica.receive(older[-1], 100.0)
     assert replica.log.last_index == 1
-    broken = bytearray(older[2].data)
-    broken[9] ^= 1
+    corrupt = bytearray(older[2].data)
+    corrupt[9] ^= 1
     for index, chunk in enumerate(older):
         sent = (
             chunk
             if index != 2
-            else TransferChunk(2, "m0", "a0", chunk.digest, chunk.size, chunk.offset, bytes(broken))
+            else TransferChunk(2, "m0", "a0", chunk.digest, chunk.size, chunk.offset, bytes(corrupt))
         )
         replica.receive(sent, 100.0)
     assert replica.log.last_index == 1
@@ -153,7 +155,9 @@
     replica.step_down(7)
     complete_writes(replica)
     replica.receive(split(make_install(50))[0], 100.0)
-    assert [(one.term, one.success) for one in pop_sent(replica, AppendEntriesReply)] == [(7, False)]
+    assert [(message.term, message.success) for message in pop_sent(replica, AppendEntriesReply)] == [
+        (7, False)
+    ]
     assert not pop_sent(replica, TransferChunkAck)
 
 
@@ -199,9 +203,11 @@
         for machine in group.machines:
             replica = machine.replica
             if replica is not None and replica.role is Role.LEADER:
-                is_led = replica.log.term_at(replica.committed) == replica.term
-                assert replica.is_leading is is_led and (is_led or not replica.may_accept())
-                if is_led:
+                has_committed_in_term = replica.log.term_at(replica.committed) == replica.term
+                assert replica.is_leading is has_committed_in_term and (
+                    has_committed_in_term or not replica.may_accept()
+                )
+                if has_committed_in_term:
                     assert replica.applied == replica.committed
                     return
 
@@ -303,8 +309,8 @@
     return replica
 
 
-def make_ack(chunks_sent: list[TransferChunk], held: int) -> TransferChunkAck:
-    return TransferChunkAck(2, "m2", chunks_sent[0].digest, held)
+def make_ack(chunks_sent: list[TransferChunk], received_bytes: int) -> TransferChunkAck:
+    return TransferChunkAck(2, "m2", chunks_sent[0].digest, received_bytes)
 
 
 @test("a follower far behind is sent a new snapshot, one that lacks little is sent entries")
@@ -327,12 +333,12 @@
     size = chunked_transfer.CHUNK_BYTES
     replica.receive(make_ack(sent, 2 * size), 100.01)
     replica.receive(make_ack(sent, size), 100.01)
-    assert all(one.offset >= 2 * size for one in pop_sent(replica, TransferChunk))
+    assert all(message.offset >= 2 * size for message in pop_sent(replica, TransferChunk))
     replica.now = 101.0
     replica.chunked_transfer.continue_transfer(MEMBERS[2])
     pop_sent(replica, TransferChunk)
     replica.receive(make_ack(sent, 0), 101.0)
-    assert [one.offset for one in pop_sent(replica, TransferChunk)] == [0]
+    assert [message.offset for message in pop_sent(replica, TransferChunk)] == [0]
 
 
 @test("after a loss of power at any disk operation a replica has everything that it acknowledged")
@@ -368,6 +374,6 @@
     case: tuple[Site, float, float] = each((SMALL, 0.0, 0.0), (GROWN, 0.1, 0.0), (GROWN, 0.0, 3.0)),
 ) -> None:
     site, killed_at_s, disk_stall_s = case
-    done = catch_up(site, 60, killed_at_s=killed_at_s, disk_stall_s=disk_stall_s)
-    assert done.snapshots and done.terms == 0
-    assert done.seconds < 1.0 + disk_stall_s
+    result = catch_up(site, 60, killed_at_s=killed_at_s, disk_stall_s=disk_stall_s)
+    assert result.snapshots and result.terms == 0
+    assert result.seconds < 1.0 + disk_stall_s
--- a/stories/control/test_write_ahead_log.py
+++ b/stories/control/test_write_ahead_log.py
@@ -113,9 +113,9 @@
     with TemporaryDirectory() as name:
         log_file = make_log_file(Path(name), 1)
         with mock.patch.object(os, "fsync", side_effect=OSError(28, "No space left on device")):
-            with raises(DiskError) as problem:
+            with raises(DiskError) as error:
                 log_file.append([make_entry(2)])
-            assert problem.raised.step == "write"
+            assert error.raised.step == "write"
         log_file.append([make_entry(2)])
         log_file.append([make_entry(3)])
         recovered, _ = recover_log(Path(name))
@@ -129,20 +129,20 @@
 def _() -> None:
     with TemporaryDirectory() as name:
         steps: list[str] = []
-        real = {
+        originals = {
             step: getattr(write_ahead_log, step) for step in ("sync_file", "sync_directory", "remove_file")
         }
 
         def record_step(step: str) -> Callable[[Path], None]:
             def call(path: Path) -> None:
                 steps.append(step)
-                real[step](path)
+                originals[step](path)
 
             return call
 
         make_log_file(Path(name), 2)
         with ExitStack() as stack:
-            for step in real:
+            for step in originals:
                 stack.enter_context(mock.patch.object(write_ahead_log, step, record_step(step)))
             log_file = WriteAheadLog(Path(name))
             log_file.open()
@@ -156,7 +156,7 @@
     with TemporaryDirectory() as name:
         log_file = make_log_file(Path(name), 2)
         before = sum(path.stat().st_size for path in Path(name).glob("*.dat"))
-        first: list[Record] = [Identity("me"), make_entry(1)]
+        first_records: list[Record] = [Identity("me"), make_entry(1)]
         with mock.patch.object(write_ahead_log, "sync_file", side_effect=OSError(5, "I/O error")):
             for _ in range(50):
                 with raises(DiskError):
@@ -165,9 +165,9 @@
             assert after_one <= before + 2 * len(write_ahead_log.encode_batch(1, 1, [make_entry(3)]))
             for _ in range(50):
                 with raises(DiskError):
-                    log_file.rotate(first)
+                    log_file.rotate(first_records)
             assert sum(path.stat().st_size for path in Path(name).glob("*.dat")) <= after_one
-        log_file.rotate(first)
+        log_file.rotate(first_records)
         log_file.close()
         assert len(list(Path(name).glob("*.dat"))) == 1
         assert recover_log(Path(name))[0].durable_state.id == "me"
@@ -177,13 +177,13 @@
 def _() -> None:
     with TemporaryDirectory() as name:
         log_file = make_log_file(Path(name), 2)
-        first: list[Record] = [Identity("me"), make_entry(1)]
+        first_records: list[Record] = [Identity("me"), make_entry(1)]
         with mock.patch.object(write_ahead_log, "remove_file", side_effect=OSError(28, "No space left")):
             for _ in range(3):
-                with raises(DiskError) as problem:
-                    log_file.rotate(first)
-                assert problem.raised.step == "begin"
-        log_file.rotate(first)
+                with raises(DiskError) as error:
+                    log_file.rotate(first_records)
+                assert error.raised.step == "begin"
+        log_file.rotate(first_records)
         log_file.close()
         assert [path.name for path in Path(name).glob("*.dat")] == ["log-000002.dat"]
 
@@ -199,14 +199,14 @@
         newest_dat_file(Path(name)).write_bytes(bytes(data))
         log_file = WriteAheadLog(Path(name))
         assert log_file.open().is_corrupt
-        first: list[Record] = [Identity("stranger")]
+        first_records: list[Record] = [Identity("stranger")]
         with (
             mock.patch.object(write_ahead_log, "sync_file", side_effect=OSError(5, "I/O error")),
             raises(DiskError),
         ):
-            log_file.rotate(first)
+            log_file.rotate(first_records)
         assert recover_log(Path(name))[0].is_corrupt
-        log_file.rotate(first)
+        log_file.rotate(first_records)
         log_file.close()
         recovered, _ = recover_log(Path(name))
         assert recovered.durable_state.id == "stranger" and not recovered.is_corrupt
--- a/stories/mesh/test_backends.py
+++ b/stories/mesh/test_backends.py
@@ -77,10 +77,10 @@
                 ]
             )
         )
-        place = mesh.planes[0]
+        address = mesh.planes[0]
         mesh.run(mesh.run_traffic(1.0, 100.0))
-        mesh.kill_backend(place)
-        successor = mesh.replace_backend(place, "maps")
+        mesh.kill_backend(address)
+        successor = mesh.replace_backend(address, "maps")
         mesh.run(mesh.run_traffic(3.0, 100.0))
         assert successor.runs == 0 and not mesh.find_violations(), (successor.runs, mesh.find_violations())
         assert mesh.traffic_log.status_counts[200] > 0.95 * mesh.traffic_log.request_count
--- a/stories/mesh/test_cancellation.py
+++ b/stories/mesh/test_cancellation.py
@@ -16,13 +16,15 @@
 EXECUTION_S = 3.0
 
 
-async def send_and_hold(mesh: SimulatedMesh, address: str, kind: str, key: str = "") -> asyncio.StreamWriter:
+async def send_without_reading(
+    mesh: SimulatedMesh, address: str, kind: str, key: str = ""
+) -> asyncio.StreamWriter:
     """Send a request and return its connection, without reading the response."""
     _, writer = await asyncio.open_connection(address, OUTBOUND_PORT)
-    key_field = f"Cometdoor-Idempotency-Key: {key}\r\n" if key else ""
+    key_header = f"Cometdoor-Idempotency-Key: {key}\r\n" if key else ""
     writer.write(
         f"GET /{kind}/1 HTTP/1.1\r\nHost: {HOST}\r\nCometdoor-Attempt-Id: held-{kind}-{key}\r\n"
-        f"Cometdoor-Deadline-Ms: 5000\r\n{key_field}\r\n".encode()
+        f"Cometdoor-Deadline-Ms: 5000\r\n{key_header}\r\n".encode()
     )
     await asyncio.sleep(0.5)
     return writer
@@ -36,8 +38,8 @@
     )
 
 
-@test("when {what} the execution of its request ends within half a second")
-def _(what: str = each("a client leaves", "the proxy of a client is killed")) -> None:
+@test("when {event} the execution of its request ends within half a second")
+def _(event: str = each("a client leaves", "the proxy of a client is killed")) -> None:
     with simulated_mesh(seed=54, planes=4) as mesh:
         # Given a request that one backend of another machine executes
         mesh.run(
@@ -45,10 +47,10 @@
         )
         for backend in mesh.backends.values():
             backend.service_time_s = lambda: EXECUTION_S
-        writer = mesh.run(send_and_hold(mesh, mesh.planes[0], "idempotent"))
+        writer = mesh.run(send_without_reading(mesh, mesh.planes[0], "idempotent"))
         assert working_backends(mesh) == 1
         # When
-        if what == "a client leaves":
+        if event == "a client leaves":
             writer.transport.abort()
         else:
             mesh.kill(mesh.planes[0])
@@ -63,7 +65,7 @@
         mesh.run(mesh.start_configured())
         for backend in mesh.backends.values():
             backend.service_time_s = lambda: 1.0
-        writer = mesh.run(send_and_hold(mesh, mesh.planes[0], "keyed", "k-1"))
+        writer = mesh.run(send_without_reading(mesh, mesh.planes[0], "keyed", "k-1"))
         writer.transport.abort()
         mesh.wait(2.0)
         assert mesh.run(mesh.request(mesh.planes[1], "keyed", "k-1")) == 200
--- a/stories/mesh/test_core.py
+++ b/stories/mesh/test_core.py
@@ -64,17 +64,17 @@
             )
             return status, text.decode()
 
-        sound = {"revision": 9, "services": [], "hosts": []}
+        valid = {"revision": 9, "services": [], "hosts": []}
         unnamed = {"hosts": [{"hostname": "", "host-routes": []}]}
-        for body, base, status, place in [
+        for body, base, status, expected_text in [
             (b"{", "1", 400, "can't be read whole"),
-            (json.dumps(sound).encode(), "one", 400, "Base-Version"),
-            (json.dumps(sound | {"revision": 1}).encode(), "1", 400, "revision"),
-            (json.dumps(sound).encode(), "7", 412, "version 1"),
-            (json.dumps(sound | unnamed).encode(), "1", 400, "hosts.0.hostname"),
+            (json.dumps(valid).encode(), "one", 400, "Base-Version"),
+            (json.dumps(valid | {"revision": 1}).encode(), "1", 400, "revision"),
+            (json.dumps(valid).encode(), "7", 412, "version 1"),
+            (json.dumps(valid | unnamed).encode(), "1", 400, "hosts.0.hostname"),
         ]:
-            got, text = mesh.run(replace(body, base))
-            assert got == status and place in text, (body, got, text)
+            actual_status, text = mesh.run(replace(body, base))
+            assert actual_status == status and expected_text in text, (body, actual_status, text)
 
         async def describe() -> int:
             _, _, body = await http_request(mesh.leader(), CONTROL_PORT, "GET", "/Configuration.Describe", {})
@@ -120,22 +120,22 @@
         keys = list(mesh.traffic_log.runs_by_key)
         assert len(keys) > 10
         # When two of three disks are lost for good, and the core is rebuilt from the third
-        left = mesh.core[1]
+        remaining = mesh.core[1]
         for address in mesh.core:
             mesh.kill(address, silent=True)
         mesh.wait(2.0)
-        (mesh.folder / left).rename(mesh.folder / "left")
+        (mesh.folder / remaining).rename(mesh.folder / "left")
         for address in mesh.core:
-            if address != left:
+            if address != remaining:
                 (mesh.folder / address).rename(mesh.folder / f"lost-{address}")
         rebuilt = rebuild(
             [mesh.folder / "left"],
-            mesh.folder / left,
-            Member("", f"{left}:{INTERNAL_PORT + 1}", f"{left}:{CONTROL_PORT}", left),
+            mesh.folder / remaining,
+            Member("", f"{remaining}:{INTERNAL_PORT + 1}", f"{remaining}:{CONTROL_PORT}", remaining),
             60.0,
         )
         assert rebuilt.revision == 4 and len(rebuilt.members_before) == 3
-        for address in (left, *(address for address in mesh.core if address != left)):
+        for address in (remaining, *(address for address in mesh.core if address != remaining)):
             mesh.restart(address)
             mesh.wait(3.0)
         # Then it has three members, the configuration is in force, and the next one is accepted
@@ -180,9 +180,9 @@
         absent = next(address for address in mesh.core if address != mesh.leader())
         mesh.kill(absent)
         # When configurations of 100 kB are committed while it is down, and on after its restart
-        many = [route(f"/{number:05d}/{'x' * 60}") for number in range(600)]
+        many_routes = [route(f"/{number:05d}/{'x' * 60}") for number in range(600)]
         for revision in range(2, 32):
-            assert mesh.run(mesh.configure(revision, revision - 1, routes=many)) == 200
+            assert mesh.run(mesh.configure(revision, revision - 1, routes=many_routes)) == 200
         mesh.restart(absent)
         restarted_at = mesh.loop.time()
         member = mesh.programs[absent]
@@ -192,6 +192,6 @@
             assert mesh.loop.time() - restarted_at < 4.0
         # Then it has them from a snapshot, at which its log begins
         assert member.replica_server.replica.log.snapshot_index > 0
-        assert mesh.run(mesh.configure(32, 31, routes=many)) == 200
+        assert mesh.run(mesh.configure(32, 31, routes=many_routes)) == 200
         mesh.wait(0.3)
         assert member.replica_server.state.revision == 32
--- a/stories/mesh/test_keyed_requests.py
+++ b/stories/mesh/test_keyed_requests.py
@@ -30,16 +30,16 @@
     with simulated_mesh(seed=seed) as mesh:
         mesh.run(mesh.start_configured())
 
-        async def both(key: str) -> list[int]:
+        async def request_at_both(key: str) -> list[int]:
             return list(
                 await asyncio.gather(
                     *(mesh.request(address, "keyed", key, max_attempts=6) for address in mesh.planes[:2])
                 )
             )
 
-        assert mesh.run(both("k-before")) == [200, 200]
+        assert mesh.run(request_at_both("k-before")) == [200, 200]
         mesh.kill(mesh.leader())
-        statuses = mesh.run(both("k-while"))
+        statuses = mesh.run(request_at_both("k-while"))
         assert statuses == [200, 200] and mesh.traffic_log.runs_by_key["k-while"] == 1, statuses
         assert not mesh.find_violations(), mesh.find_violations()
 
@@ -50,13 +50,13 @@
         mesh.run(mesh.start_configured())
         assert mesh.run(mesh.request(mesh.planes[0], "keyed", "k-old")) == 200
         mesh.wait(0.3)
-        everywhere = [*mesh.core, *mesh.planes]
-        for address in everywhere:
+        all_addresses = [*mesh.core, *mesh.planes]
+        for address in all_addresses:
             mesh.kill(address, silent=True)
-        mesh.loop.unpowered |= set(everywhere)
+        mesh.loop.unpowered |= set(all_addresses)
         mesh.wait(1.0)
         mesh.loop.unpowered.clear()
-        for address in everywhere:
+        for address in all_addresses:
             mesh.restart(address)
         assert mesh.run(mesh.wait_ready(2.0))
         # Its response was lost with the proxy that held it: the outcome is unknown, and stays so
@@ -74,13 +74,13 @@
 def _() -> None:
     with simulated_mesh(seed=11) as mesh:
         mesh.run(mesh.start_configured())
-        alone = mesh.planes[2]
-        mesh.partition([alone], mesh.core)
+        partitioned = mesh.planes[2]
+        mesh.partition([partitioned], mesh.core)
         mesh.wait(1.5)
-        assert mesh.run(mesh.request(alone, "idempotent")) == 200
-        assert mesh.run(mesh.request(alone, "keyed", "k-cut", max_attempts=1)) == 503
+        assert mesh.run(mesh.request(partitioned, "idempotent")) == 200
+        assert mesh.run(mesh.request(partitioned, "keyed", "k-cut", max_attempts=1)) == 503
         assert mesh.traffic_log.runs_by_key["k-cut"] == 0
         mesh.heal()
         mesh.wait(1.5)
-        assert mesh.run(mesh.request(alone, "keyed", "k-cut")) == 200
+        assert mesh.run(mesh.request(partitioned, "keyed", "k-cut")) == 200
         assert not mesh.find_violations(), mesh.find_violations()
--- a/stories/mesh/test_link_congestion.py
+++ b/stories/mesh/test_link_congestion.py
@@ -99,9 +99,9 @@
 def _() -> None:
     with simulated_mesh(seed=52, planes=8, services=SERVICES) as mesh:
         congested = CongestedMesh(mesh)
-        began_at = mesh.loop.time()
+        started_at = mesh.loop.time()
         congested.run_traffic(20.0, link_load=0.75)
-        share = congested.share_in_time(began_at)
+        share = congested.share_in_time(started_at)
         assert share >= 0.99, f"{share:.3f} of the searches were in time"
         assert not mesh.find_violations(), str(mesh.find_violations())
 
@@ -115,10 +115,10 @@
         congested.run_traffic(8.0, link_load=1.5)
         # When they are fewer again
         mesh.wait(1.0)
-        began_at = mesh.loop.time()
+        started_at = mesh.loop.time()
         congested.run_traffic(10.0, link_load=0.5)
         # Then
-        share = congested.share_in_time(began_at)
+        share = congested.share_in_time(started_at)
         assert share >= 0.99, f"{share:.3f} of the searches were in time"
         closed = congested.closed_connections() - closed_before
         assert "keepalive timeout" not in closed, str(closed)
--- a/stories/mesh/test_misbehaving_backends.py
+++ b/stories/mesh/test_misbehaving_backends.py
@@ -67,8 +67,8 @@
 
     def _repeated_later(self, response: bytes) -> None:
         self._writer.write(response)
-        later = self._rng.uniform(*REPEAT_DELAY_S)
-        asyncio.get_running_loop().call_later(later, self._writer.write, response)
+        delay_s = self._rng.uniform(*REPEAT_DELAY_S)
+        asyncio.get_running_loop().call_later(delay_s, self._writer.write, response)
 
     def _rejection_of_another(self, response: bytes) -> None:
         rejection = b"HTTP/1.1 503 X\r\nCometdoor-Attempt-Id: x\r\nCometdoor-Not-Executed: 1\r\n"
@@ -88,7 +88,7 @@
         await super()._serve(reader, cast(Any, MisbehavingWriter(writer, self.rng)))
 
 
-async def attempts(mesh: SimulatedMesh, count: int) -> Counter[int]:
+async def send_and_count_statuses(mesh: SimulatedMesh, count: int) -> Counter[int]:
     """Count the statuses of so many non-idempotent requests, which their client does not retry."""
 
     async def send_one(index: int) -> int:
@@ -110,7 +110,7 @@
         mesh.run(mesh.run_traffic(5.0, 100.0))
         assert not mesh.find_violations(), mesh.find_violations()
         before = set(mesh.traffic_log.runs)
-        status_counts = mesh.run(attempts(mesh, 300))
+        status_counts = mesh.run(send_and_count_statuses(mesh, 300))
         runs = {id: count for id, count in mesh.traffic_log.runs.items() if id not in before}
         assert set(runs.values()) == {1} and not mesh.find_violations(), mesh.find_violations()
         # Nothing was executed of what got 503: there are at most as many executions as other statuses.
--- a/stories/mesh/test_requests.py
+++ b/stories/mesh/test_requests.py
@@ -170,16 +170,16 @@
         # Given a mesh with traffic, whose leader has led for longer than any earlier lease lasts
         mesh.run(mesh.start_configured())
         mesh.run(mesh.run_traffic(26.0, 80.0))
-        needy, idle = (mesh.data_plane(address) for address in mesh.planes[:2])
+        exhausted, idle = (mesh.data_plane(address) for address in mesh.planes[:2])
         # When one proxy has used up its retries
-        share = needy.outbound_proxy.budget_shares.for_service("pitches")
-        before = needy.outbound_proxy.budget_shares.report()["pitches"]
+        share = exhausted.outbound_proxy.budget_shares.for_service("pitches")
+        before = exhausted.outbound_proxy.budget_shares.report()["pitches"]
         for _ in range(8):
             share.record_retry(mesh.loop.time())
         mesh.run(mesh.run_traffic(3.0, 80.0))
         # Then it may retry more than before, and another one less than its own share
-        assert needy.outbound_proxy.budget_shares.report().get("pitches", 1.0) > before + 5.0, (
-            needy.outbound_proxy.budget_shares.report()
+        assert exhausted.outbound_proxy.budget_shares.report().get("pitches", 1.0) > before + 5.0, (
+            exhausted.outbound_proxy.budget_shares.report()
         )
         assert idle.outbound_proxy.budget_shares.report()["pitches"] < 0.0, (
             idle.outbound_proxy.budget_shares.report()
--- a/tests/docs/test_architecture.py
+++ b/tests/docs/test_architecture.py
@@ -36,9 +36,9 @@
 
 def section(page: str, title: str) -> str:
     """Return the text under a second-level heading."""
-    found = re.search(rf"^## {re.escape(title)}\n(.*?)(?=^## |\Z)", page, re.MULTILINE | re.DOTALL)
-    assert found is not None, f"no section {title!r}"
-    return found[1]
+    match = re.search(rf"^## {re.escape(title)}\n(.*?)(?=^## |\Z)", page, re.MULTILINE | re.DOTALL)
+    assert match is not None, f"no section {title!r}"
+    return match[1]
 
 
 def table_rows(text: str) -> list[list[str]]:
--- a/tests/docs/test_glossary.py
+++ b/tests/docs/test_glossary.py
@@ -69,16 +69,16 @@
     names = path.split(".")
     if not (ROOT / names[0] / "__init__.py").exists():
         return False
-    found: object = importlib.import_module(names[0])
-    for place, name in enumerate(names[1:], 1):
-        if inspect.ismodule(found) and hasattr(found, "__path__") and not hasattr(found, name):
-            if name not in {module.name for module in pkgutil.iter_modules(found.__path__)}:
+    target: object = importlib.import_module(names[0])
+    for depth, name in enumerate(names[1:], 1):
+        if inspect.ismodule(target) and hasattr(target, "__path__") and not hasattr(target, name):
+            if name not in {module.name for module in pkgutil.iter_modules(target.__path__)}:
                 return False
-            found = importlib.import_module(".".join(names[: place + 1]))
-        elif place == len(names) - 1:
-            return has_member(found, name)
-        elif hasattr(found, name):
-            found = getattr(found, name)
+            target = importlib.import_module(".".join(names[: depth + 1]))
+        elif depth == len(names) - 1:
+            return has_member(target, name)
+        elif hasattr(target, name):
+            target = getattr(target, name)
         else:
             return False
     return True
--- a/tests/docs/test_runbook.py
+++ b/tests/docs/test_runbook.py
@@ -49,8 +49,10 @@
         for node in ast.walk(tree):
             if isinstance(node, ast.Assign | ast.AnnAssign) and isinstance(node.value, ast.Call):
                 function = node.value.func
-                named = function.attr if isinstance(function, ast.Attribute) else getattr(function, "id", "")
-                if named in LOGGER_FACTORIES:
+                factory = (
+                    function.attr if isinstance(function, ast.Attribute) else getattr(function, "id", "")
+                )
+                if factory in LOGGER_FACTORIES:
                     for target in node.targets if isinstance(node, ast.Assign) else [node.target]:
                         yield target.attr if isinstance(target, ast.Attribute) else ast.unparse(target)
 
@@ -70,34 +72,34 @@
             case ast.Attribute(attr=method, value=receiver) if self._is_logger(receiver):
                 self._called.add(node.func)
                 if method in LEVELS:
-                    self._read(node, node.args[:1], LEVELS[method])
+                    self._add_event(node, node.args[:1], LEVELS[method])
                 elif method == "log":
                     self._read_level(node)
             case ast.Name(id="getattr") if node.args and self._is_logger(node.args[0]):
-                self._refuse(node)
+                self._report_unreadable(node)
             case _:
                 pass
         self.generic_visit(node)
 
     def visit_Attribute(self, node: ast.Attribute) -> None:
         if node.attr in LEVELS and self._is_logger(node.value) and node not in self._called:
-            self._refuse(node)  # a method that is handed on: which events it logs can't be read here
+            self._report_unreadable(node)  # the method is passed on, so its events can't be read here
         self.generic_visit(node)
 
     def _read_level(self, node: ast.Call) -> None:
         level = node.args[0] if node.args else None
         name = level.attr if isinstance(level, ast.Attribute) else ""
         if name not in BELOW_WARNING:
-            self._read(node, node.args[1:2], LEVELS.get(name.lower(), ""))
+            self._add_event(node, node.args[1:2], LEVELS.get(name.lower(), ""))
 
-    def _read(self, node: ast.Call, first: list[ast.expr], level: str) -> None:
+    def _add_event(self, node: ast.Call, first: list[ast.expr], level: str) -> None:
         match first:
             case [ast.Constant(value=str(text))] if level:
                 self.events.add(LogEvent(text, level))
             case _:
-                self._refuse(node)
+                self._report_unreadable(node)
 
-    def _refuse(self, node: ast.expr) -> None:
+    def _report_unreadable(self, node: ast.expr) -> None:
         self.unreadable.append(f"line {node.lineno}: {ast.unparse(node)}")
 
 
@@ -106,9 +108,11 @@
     entries = []
     for section in re.split(r"^### ", page, flags=re.MULTILINE)[1:]:
         heading, _, body = section.partition("\n")
-        found = re.fullmatch(r"`(.+)` \((warning|error)\)", heading)
-        assert found is not None, f"heading {heading!r} is not of the form `event` (level)"
-        entries.append((LogEvent(found[1], found[2]), re.split(r"^#", body, flags=re.MULTILINE)[0]))
+        heading_match = re.fullmatch(r"`(.+)` \((warning|error)\)", heading)
+        assert heading_match is not None, f"heading {heading!r} is not of the form `event` (level)"
+        entries.append(
+            (LogEvent(heading_match[1], heading_match[2]), re.split(r"^#", body, flags=re.MULTILINE)[0])
+        )
     return entries
 
 
