--- a/stories/__init__.py
+++ b/stories/__init__.py
@@ -1,4 +1,4 @@
-"""Scenario tests of the mesh's parts, in memory and virtual time: given, when, then.
+"""Scenario tests of the mesh's components, in memory and in virtual time, as given, when and then.
 
 They run with ward: `python -m stories`.
 """
--- a/stories/__main__.py
+++ b/stories/__main__.py
@@ -1,7 +1,7 @@
-"""Runs ward, and prints in its last line how many stories passed and failed.
+"""Runs ward, and prints as its last line how many stories passed and failed.
 
-Stories that KNOWN-RED.txt lists don't count as failed; they are printed (tools/known_red.py). One that does
-not fail in a run of all stories fails the run until its line is gone.
+Stories listed in KNOWN-RED.txt don't count as failed; they are printed (tools/known_red.py). If one of them
+does not fail in a run of all stories, that run fails until its line is removed from the list.
 """
 
 import os
@@ -19,7 +19,7 @@
     env=os.environ | {"COLUMNS": "300"},  # descriptions stay on one line
 )
 print(result.stdout, end="")
-# Outcomes in the terms of ward's progress lines; a story that can't be collected has none.
+# The outcomes in ward's progress lines; a story that can't be collected has none.
 outcomes = re.findall(r"^\s*(PASS|FAIL)\s+(.*)", result.stdout, re.MULTILINE)
 failures = [text for outcome, text in outcomes if outcome == "FAIL"]
 passed, failed = len(outcomes) - len(failures), len(failures)
--- a/stories/control/test_accepted_configurations.py
+++ b/stories/control/test_accepted_configurations.py
@@ -1,4 +1,4 @@
-"""Resent configurations, as the state machine deduplicates them."""
+"""How the state machine deduplicates configurations that are sent again."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -29,11 +29,12 @@
 
 
 def apply_change(state: StateMachine, change: ConfigurationChange) -> int:
+    """Apply a change and return the status of its HTTP response."""
     return build_replace_response(change, state.apply(change)).status
 
 
 def restore_from_snapshot(state: StateMachine) -> StateMachine:
-    """Out of a snapshot."""
+    """Return a state machine that is restored from a snapshot of this one."""
     other = StateMachine(60.0)
     other.load(state.snapshot())
     return other
@@ -67,7 +68,7 @@
     count = MAX_REMEMBERED_REVISIONS + 500
     changes = [ConfigurationChange(base, base + 1, b"%d" % base) for base in range(count)]
     state = restore_from_snapshot(make_state(*changes))
-    # Then those still remembered are acknowledged, and the others are left undecided
+    # Then those still remembered are acknowledged, and for the others the outcome is unknown
     assert {apply_change(state, change) for change in changes[-MAX_REMEMBERED_REVISIONS:]} == {200}
     assert {apply_change(state, change) for change in changes[:-MAX_REMEMBERED_REVISIONS]} == {503}
     # And a change that was never accepted is rejected
@@ -93,7 +94,7 @@
         == apply_change(state, ConfigurationChange(0, 5, make_crc32_collision(BODY, PADDING)))
     )
     assert apply_change(state, ConfigurationChange(0, 5, b"another")) == 412
-    # And an earlier build reads ours: the fields that it knows have their old positions
+    # And an earlier build can read a snapshot of this build: the fields it knows keep their positions
     fields = msgspec.msgpack.decode(make_state(ConfigurationChange(0, 5, BODY)).snapshot())
     assert fields[0] == 5 and fields[2] == [[5, crc32(BODY)]]
 
--- a/stories/control/test_leader_contact.py
+++ b/stories/control/test_leader_contact.py
@@ -1,4 +1,4 @@
-"""Isolated replicas in simulated meshes: what they answer, and how they rejoin."""
+"""Partitioned, paused and restarted replicas in simulated meshes: what they answer, and how they rejoin."""
 
 import ast
 import asyncio
@@ -44,7 +44,7 @@
     report = run_partition(1, how, is_leader)
     assert not report.violations and report.answer_count > 150, report
     assert report.convergence_s < 0.6, report
-    if how in ("both", "deaf"):  # it receives nothing, so it answers without a wait
+    if how in ("both", "deaf"):  # the replica receives nothing, so it answers at once
         assert report.slowest_s < 0.05, report
 
 
@@ -55,7 +55,7 @@
         old_leader = mesh.leader()
         others = make_operator(mesh, *followers(mesh))
         caller = make_operator(mesh, old_leader)
-        # Given a frozen leader, and requests that it receives when it is thawed
+        # Given a paused leader, and requests that it receives when it resumes
         plane = mesh.data_plane(mesh.planes[0])
         internal_address = mesh.control_plane(old_leader).node_settings.internal_address("controlplane")
         replies: list[object] = []
@@ -68,7 +68,7 @@
             requests += [
                 asyncio.create_task(caller.request_once(old_leader, Order(1, 2, make_body(2, "other"))))
             ]
-            # On a connection of their own: the one that gossip uses is closed at some time, for its silence.
+            # On a separate channel: gossip's connection is closed at some point, because the leader is silent
             for message in (ClaimRequest([Claim("key", "claim", "holder")]), LeaseRequest("life", -1.0, [])):
                 plane.connections.call(internal_address, message, replies.append, channel="asks")
             await asyncio.sleep(0.5)
@@ -114,7 +114,7 @@
         one = make_operator(mesh)
         before = mesh.run(one.request_once(follower, None)).exchanges[0]
         assert (before.status, before.location) == (307, leader)
-        # When its process is killed, or its power fails
+        # When the leader's machine loses power
         mesh.kill(leader, silent=True)
         mesh.loop.unpowered.add(leader)
         mesh.wait(0.3)
@@ -156,12 +156,12 @@
         mesh.loop.partitions -= {(isolated, wiped), (wiped, isolated)}
         mesh.restart(wiped)
         mesh.wait(10.0)
-        # Then neither leads or accepts anything, alone or together
+        # Then neither leads or accepts a change, alone or together
         for address in mesh.core:
             assert not mesh.control_plane(address).replica_server.replica.is_leading
         isolated_pair = make_operator(mesh, isolated, wiped)
         assert mesh.run(isolated_pair.replace(Order(1, 2, make_body(2, "new")), 3.0)).status == 0
-        # And once all are connected there is one group, with everything that was acknowledged
+        # And once all are connected there is one group, with every acknowledged change
         mesh.heal()
         mesh.wait(6.0)
         assert mesh.run(make_operator(mesh).replace(Order(1, 2, make_body(2, "new")))).status == 200
@@ -189,13 +189,13 @@
         plane = mesh.data_plane(starting)
         plane.directory.seeds = [mesh.control_plane(isolated).node_settings.internal_address("controlplane")]
         mesh.wait(2.0)
-        # Then it serves by the newest configuration that it knows
+        # Then it serves with the newest configuration that it has received
         assert isinstance(plane, DataPlane) and plane.directory.revision == 1 and plane.is_serving()
         # When it reaches one more proxy, whether the replica is back or not
         mesh.loop.partitions -= {(starting, mesh.planes[1]), (mesh.planes[1], starting)}
         mesh.wait(1.5)
         assert plane.directory.revision == 2
-        # Then it never returns to an older one, whichever proxies it reaches later
+        # Then it never returns to an older configuration, whichever proxies it reaches later
         mesh.partition([starting], [*others, mesh.planes[1]])
         mesh.wait(2.0)
         assert plane.directory.revision == 2
@@ -261,7 +261,7 @@
 
         async def send(caller: FleetOperator, index: int) -> None:
             revision = 1
-            for _ in range(3):  # each based on the newest that it has read
+            for _ in range(3):  # each is based on the newest revision that this caller has read
                 read = await caller.describe()
                 base = json.loads(read.body)["revision"]
                 revision = max(base, revision) + 1
@@ -270,7 +270,7 @@
         async def send_all() -> None:
             tasks = [asyncio.create_task(send(caller, index)) for index, caller in enumerate(callers)]
             await asyncio.sleep(3.0)
-            mesh.kill(mesh.leader())  # for some changes between their commit and the response
+            mesh.kill(mesh.leader())  # for some changes this is between the commit and the response
             await asyncio.gather(*tasks)
 
         mesh.run(send_all())
@@ -305,7 +305,7 @@
         statuses = mesh.run(replace_both())
         assert sorted(statuses) == [200, 412]
         assert mesh.run(replace_both()) == statuses
-        # Also after a later change, and after the loss of its leader
+        # Also after a later change, and after the loss of the leader
         assert mesh.run(callers[0].replace(Order(2, 3, make_body(3, "top")))).status == 200
         mesh.kill(mesh.leader())
         assert mesh.run(replace_both()) == statuses
--- a/stories/control/test_linearizability.py
+++ b/stories/control/test_linearizability.py
@@ -28,16 +28,20 @@
         make_replacement(4, 5, 0, 7, 0),
         make_replacement(6, 7, 5, 9, 1),
     ],
-    "a read beside it": [make_replacement(0, 5, 0, 5, 1), make_read(1, 2, 0), make_read(3, 4, 5)],
-    "two race": [make_replacement(0, 5, 0, 5, 0), make_replacement(1, 4, 0, 6, 1), make_read(6, 7, 6)],
-    "an unknown one in force later": [Operation(0, 0, 5), make_read(2, 3, 0), make_read(4, 5, 5)],
-    "sent again with later ones on top": [
+    "a concurrent read": [make_replacement(0, 5, 0, 5, 1), make_read(1, 2, 0), make_read(3, 4, 5)],
+    "two concurrent replacements": [
+        make_replacement(0, 5, 0, 5, 0),
+        make_replacement(1, 4, 0, 6, 1),
+        make_read(6, 7, 6),
+    ],
+    "one of unknown outcome is in force later": [Operation(0, 0, 5), make_read(2, 3, 0), make_read(4, 5, 5)],
+    "sent again after a later one": [
         make_replacement(0, 1, 0, 5, 1),
         make_replacement(2, 3, 5, 6, 1),
         make_replacement(4, 5, 0, 5, 1),
         make_read(6, 7, 6),
     ],
-    "another under the same number": [
+    "another under the same revision": [
         make_replacement(0, 1, 0, 5, 1),
         Operation(2, 0, 5, 3, 0, tag=1),
         make_read(4, 5, 5),
@@ -46,15 +50,15 @@
 NOT_LINEARIZABLE = {
     "an older one is read": [make_replacement(0, 1, 0, 5, 1), make_read(2, 3, 5), make_read(4, 5, 0)],
     "two on one base": [make_replacement(0, 5, 0, 5, 1), make_replacement(1, 4, 0, 6, 1)],
-    "taken and never seen": [make_replacement(0, 1, 0, 5, 1), make_read(2, 3, 0)],
-    "refused, and read": [make_replacement(0, 1, 0, 5, 0), make_read(2, 3, 5)],
-    "sent again and refused": [
+    "accepted and never read": [make_replacement(0, 1, 0, 5, 1), make_read(2, 3, 0)],
+    "rejected, and read": [make_replacement(0, 1, 0, 5, 0), make_read(2, 3, 5)],
+    "sent again and rejected": [
         make_replacement(0, 1, 0, 5, 1),
         make_replacement(2, 3, 5, 6, 1),
         make_replacement(4, 5, 0, 5, 0),
     ],
-    "both under one number": [make_replacement(0, 1, 0, 5, 1), Operation(2, 0, 5, 3, 1, tag=1)],
-    "one is taken, the other read": [
+    "both under one revision": [make_replacement(0, 1, 0, 5, 1), Operation(2, 0, 5, 3, 1, tag=1)],
+    "one is accepted, the other is read": [
         make_replacement(0, 1, 0, 5, 1),
         Operation(2, ended_at=3, response=5, tag=1),
     ],
--- a/stories/control/test_membership.py
+++ b/stories/control/test_membership.py
@@ -14,7 +14,7 @@
 
 
 def make_group(machines: int, fault_tolerance: int, zones: tuple[str, ...] = ("",)) -> ReplicaGroup:
-    """Given a group that has taken a first configuration."""
+    """Return a group that has accepted a first configuration."""
     group = ReplicaGroup(1, machines, fault_tolerance=fault_tolerance, zones=zones)
     group.run_until_leader()
     group.run(1.0)
@@ -85,7 +85,7 @@
 
 @test("learners delay no commit, start no elections and decide none")
 def _() -> None:
-    # Given six machines of which the spare learner and two voters are isolated
+    # Given six machines, of which the spare learner and two voters are isolated
     group = make_group(6, 2)
     spare = pick_follower(group, voter=False)
     isolated = [
@@ -103,7 +103,7 @@
     assert group.propose(Claim("k", "c", "h"))
     group.run(0.2)
     assert len(group.acknowledged) == before + 1
-    # When a third voter is lost and the spare is back in its place
+    # When a third voter is lost, and only the spare learner is reachable again
     group.heal()
     for machine_index in isolated[1:]:
         group.isolate(machine_index)
@@ -115,7 +115,7 @@
         )
     )
     group.run(3.0)
-    # Then no replica may accept changes: two voters and a learner are no majority
+    # Then no replica may accept changes: two voters and a learner are not a majority
     assert group.leader() is None
 
 
@@ -159,7 +159,7 @@
 
 @test("a wiped voter is a learner under its new id until it has the complete log")
 def _(machines: int = each(3, 5)) -> None:
-    # Given a group whose learners are sent nothing
+    # Given a group whose leader sends nothing to learners
     group = make_group(machines, (machines - 1) // 2)
     wiped = pick_follower(group)
     former_id = next(
@@ -175,12 +175,12 @@
     with mock.patch.object(Replication, "send_append", send_to_voters):
         group.start(wiped)
         group.run(2.0)
-        # Then it doesn't vote, and the old id is gone
+        # Then it is not a voter, and its former id has been removed
         assert (
             wiped in machine_indexes(group, voter=False) and len(machine_indexes(group, True)) == machines - 1
         )
         assert not leader(group).is_member(former_id)
-    # When it is sent the log it votes again
+    # When it has been sent the log, it is a voter again
     group.run(1.0)
     assert len(machine_indexes(group, True)) == machines
 
@@ -201,7 +201,7 @@
 
 @test("the learner of the emptiest zone is promoted, and voters move from fuller zones to emptier ones")
 def _() -> None:
-    # Given two machines in each of three zones, then a zone loses a voter
+    # Given two machines in each of three zones
     group = make_group(6, 2, ("a", "b", "c"))
     voters_per_zone = [
         sum(machine_index % 3 == zone for machine_index in machine_indexes(group, True)) for zone in range(3)
--- a/stories/control/test_model_checker.py
+++ b/stories/control/test_model_checker.py
@@ -79,14 +79,14 @@
 
 @test("a learner that alone has the most up-to-date log is elected, and transfers its leadership")
 def _() -> None:
-    # Given a promotion on the old leader's disk alone, and the next leader's entry on the spare learner's
+    # Given a promotion that only the old leader's disk has, and the next leader's entry on the spare's disk
     trace = [*LEADER_ELECTED_WITH_SPARE, step("tend once", 0, 1, 3), step("elect", 1, 2), step("send", 1, 3)]
     world = RepairStage([*trace, step("crash", 1)], spares=1).world()
-    # When the others elect: two of four voters, then one of three, are no majority
+    # When the others start elections: two of four voters, then one of three, are not a majority
     for voter in (0, 2, 0, 2):
         world = world.apply(step("elect", voter, *{0, 2, 3} - {voter}))
         assert not any(node.replica and node.replica.role is Role.LEADER for node in world.nodes)
-    # Then the learner can be
+    # Then the learner can be elected
     world = world.apply(step("elect", 3, 0, 2)).apply(step("elect", 3, 0, 2))
     learner = world.nodes[3].replica
     assert learner is not None and learner.role is Role.LEADER
--- a/stories/control/test_offline_inspection.py
+++ b/stories/control/test_offline_inspection.py
@@ -17,7 +17,7 @@
 
 
 def make_data_directory(folder: Path) -> Path:
-    """Given a member that knows of one configuration in force, and of a later one that may be."""
+    """Write the data of a member that knows one configuration in force and a later one that may be."""
     log_file = WriteAheadLog(folder)
     log_file.open()
     log_file.rotate([Identity("me"), HardState(2, "me")])
@@ -53,7 +53,7 @@
         path.write_bytes(content[:-BLOCK_BYTES])  # the last write was not synced
         assert not read_data_directory(Path(name)).faults
         flipped = bytearray(content)
-        flipped[2 * BLOCK_BYTES + 60] ^= 4  # in a value that a later one shows to be synced
+        flipped[2 * BLOCK_BYTES + 60] ^= 4  # in a batch that a later batch shows to be synced
         path.write_bytes(bytes(flipped))
         assert "lost an acknowledged write" in read_data_directory(Path(name)).faults[0]
         with raises(NotADirectoryError):
--- a/stories/control/test_replica.py
+++ b/stories/control/test_replica.py
@@ -1,4 +1,4 @@
-"""The replicated log, over simulated machines and disks."""
+"""The replicated log on simulated machines and disks."""
 
 from unittest import mock
 
@@ -15,7 +15,7 @@
 
 
 def make_group(seed: int = 1, machines: int = 5) -> ReplicaGroup:
-    """Given a core that has taken a first configuration."""
+    """Return a group that has accepted a first configuration."""
     group = ReplicaGroup(seed, machines)
     group.run_until_leader()
     group.run(0.5)
@@ -69,7 +69,7 @@
 
 @test("a restarted member knows what was committed before it hears from a leader")
 def _(machine_index: int = each(0, 1, 2)) -> None:
-    # Given a core whose members have written something after they learned of the commit
+    # Given a group whose members have written an entry after they learned of the commit
     group = make_group(5, 3)
     group.propose(Claim("k", "c", "h"))
     group.run(0.5)
@@ -78,7 +78,7 @@
         group.kill(index)
     group.start(machine_index)
     group.run(1.0)
-    # Then it has the configuration, and nothing is accepted
+    # Then it has the configuration, and there is no leader to accept changes
     assert group.machines[machine_index].state.revision == 1 and group.leader() is None
 
 
@@ -94,7 +94,7 @@
     group.run(4.0)
     after = group.machines[leader].replica
     assert after is not None
-    assert after.me.id != before.me.id  # a new member, which the others have admitted
+    assert after.me.id != before.me.id  # a new member, which the others have accepted
     assert len(members(group)) == machines
     group.check_nothing_lost()
 
@@ -188,7 +188,7 @@
     for count in range(20):
         group.propose(Claim(f"k{count}", "a", "one"))
         group.run(0.05)
-    with mock.patch.object(snapshots, "RETAINED_MAX_BYTES", 0):  # no entries that the snapshot covers
+    with mock.patch.object(snapshots, "RETAINED_MAX_BYTES", 0):  # retain no entries that the snapshot covers
         for machine in group.machines:
             if machine.replica is not None:
                 machine.disk.append(machine.replica.compact())
--- a/stories/control/test_second_losses.py
+++ b/stories/control/test_second_losses.py
@@ -1,4 +1,4 @@
-"""Second losses after each kind of repair, the membership history, and tests of its checker."""
+"""Second losses after each kind of repair, and tests of the checker of membership histories."""
 
 from dataclasses import replace
 
@@ -51,7 +51,7 @@
 
 
 def make_history() -> MembershipHistory:
-    """Given three voters, of which one is replaced after its disk was lost."""
+    """Return the history of three voters, of which one is replaced after its disk was lost."""
     memberships = [(A, B, C), (A, B), (A, B, as_learner(D)), (A, B, D), (A, B, D, as_learner(E))]
     changes = [
         RecordedChange(index, 1 + index // 3, members, float(index))
--- a/stories/control/test_session_model.py
+++ b/stories/control/test_session_model.py
@@ -1,4 +1,4 @@
-"""Client sessions in all short histories of a small replica group, and defects that must be found."""
+"""Client sessions in all short histories of a small replica group, and defects that the checker must find."""
 
 import logging
 
@@ -17,7 +17,9 @@
     assert not explored.violation and explored.states > 200, explored
 
 
-@test("no long random execution does, with three or five replicas")
+@test(
+    "no long random execution rejects an accepted change or returns an old state, with three or five replicas"
+)
 def _() -> None:
     walks = [walk_sessions(seed, 30, 3 if seed % 3 else 5) for seed in range(150)]
     assert not any(walk.violation for walk in walks), [walk.violation for walk in walks if walk.violation]
--- a/stories/control/test_snapshots.py
+++ b/stories/control/test_snapshots.py
@@ -91,7 +91,7 @@
 
 @test("a heartbeat's answer does not acknowledge a snapshot that is not on disk yet")
 def _(last_term: int = each(1, 2)) -> None:
-    # Given a follower with entries on its disk, as far as the snapshot and further, alike or of an old term
+    # Given a follower with entries on disk up to and past the snapshot's end, of its term or an older one
     stale = [
         LogEntry(1, 1, MembershipChange(MEMBERS)),
         *(LogEntry(index, 1, Noop()) for index in range(2, 80)),
@@ -99,7 +99,7 @@
     replica = make_follower(stale)
     for chunk in split(make_install(50, last_term)):
         replica.receive(chunk, 100.0)
-    # When a heartbeat comes that begins where the snapshot ends
+    # When a heartbeat arrives whose previous entry is the snapshot's last
     replica.receive(AppendEntries(2, "m0", "a0", 50, last_term, [], 50, 9), 100.0)
     assert not [message for message in pop_sent(replica, AppendEntriesReply) if message.success]
     complete_writes(replica)
@@ -195,7 +195,7 @@
     leader = group.leader()
     assert leader is not None
     group.kill(leader)
-    # When the next leader's disk, and so its first entry, takes long
+    # When the next leader's disk is slow, and so its first entry is committed late
     for machine in group.machines:
         machine.sync_s = 0.1
     while True:
@@ -230,7 +230,7 @@
         group.heal()
         group.run(10.0)
     assert group.snapshots_installed and group.leader() == leader
-    assert len(group._leader_by_term) == 1  # one term
+    assert len(group._leader_by_term) == 1  # only one term had a leader
     assert links.max_queueing_s < 0.25
     assert group.machines[lagging].state.revision == group.machines[leader].state.revision
 
--- a/stories/control/test_write_ahead_log.py
+++ b/stories/control/test_write_ahead_log.py
@@ -68,7 +68,7 @@
         log_file.append([make_entry(3)])
         if not hole_is_synced:
             log_file._last_synced_number = (
-                3  # the fourth value was not on disk yet when the fifth was written
+                3  # the fourth batch was not on disk yet when the fifth was written
             )
         log_file.append([make_entry(4)])
         data = bytearray(newest_dat_file(Path(name)).read_bytes())
--- a/stories/mesh/test_backends.py
+++ b/stories/mesh/test_backends.py
@@ -34,7 +34,7 @@
 @test("after its backend crashed an inbound proxy reuses connections to the next one, as before")
 def _() -> None:
     with simulated_mesh(seed=14, planes=3) as mesh:
-        # Given backends that were busy, so that many connections broke at once when one of them crashed
+        # Given busy backends, so that many connections break at once when one of them crashes
         mesh.run(mesh.start_configured(routes=[route("idempotent")]))
         crashed = mesh.planes[1]
         for backend in mesh.backends.values():
@@ -52,7 +52,7 @@
             mesh.wait(0.08)
         mesh.kill_backend(crashed)
         mesh.wait(0.5)
-        # When another instance starts there, and gets a few hundred requests
+        # When another instance starts on that machine, and receives a few hundred requests
         mesh.replace_backend(crashed)
         mesh.wait(1.5)
         before = mesh.data_plane(crashed).inbound_proxy.connections_opened()
--- a/stories/mesh/test_cancellation.py
+++ b/stories/mesh/test_cancellation.py
@@ -1,4 +1,4 @@
-"""Simulated meshes: clients that leave, and backends that deregister without draining first."""
+"""Simulated meshes: clients that disconnect, and backends that deregister without draining first."""
 
 import asyncio
 import logging
@@ -31,7 +31,7 @@
 
 
 def working_backends(mesh: SimulatedMesh) -> int:
-    """Return how many backends have a connection on which they execute something."""
+    """Return how many backends have an open connection, on which they execute a request."""
     return sum(
         any(not writer.transport.is_closing() for writer in backend._connections)
         for backend in mesh.backends.values()
@@ -41,7 +41,7 @@
 @test("when {event} the execution of its request ends within half a second")
 def _(event: str = each("a client leaves", "the proxy of a client is killed")) -> None:
     with simulated_mesh(seed=54, planes=4) as mesh:
-        # Given a request that one backend of another machine executes
+        # Given a request that is executed by one backend, on another machine
         mesh.run(
             mesh.start_configured(routes=[route("idempotent", more={"timeout-s": 5, "max-attempts": 1})])
         )
@@ -92,7 +92,7 @@
             acknowledged_at.append(mesh.loop.time())
             statuses.append(status)
             await asyncio.sleep(0.3)
-            await leaving.send_heartbeat()  # a late one changes nothing
+            await leaving.send_heartbeat()  # a late heartbeat has no effect
 
         async def send_all() -> None:
             await asyncio.gather(deregister(), mesh.run_traffic(4.0, 30.0))
--- a/stories/mesh/test_core.py
+++ b/stories/mesh/test_core.py
@@ -1,4 +1,4 @@
-"""Simulated meshes: configurations, the core's log and its disks."""
+"""Simulated meshes: configurations, and the log and the disks of the core."""
 
 import asyncio
 import json
@@ -104,7 +104,7 @@
         assert isinstance(program, ControlPlane) and not program.replica_server.replica.is_leading
         is_full = False
         mesh.wait(1.0)
-        # Then it is a voter again: without it the two others would be no majority after one of them is lost
+        # Then it votes again: the third member alone is not a majority once the leader is lost
         mesh.kill(mesh.leader())
         mesh.wait(2.5)
         assert mesh.run(mesh.configure(2, 1)) == 200 and not mesh.find_violations(), mesh.find_violations()
@@ -113,7 +113,7 @@
 @test("a core is rebuilt from one remaining disk: its configuration is kept, and no key executes twice")
 def _() -> None:
     with simulated_mesh(seed=17) as mesh:
-        # Given a mesh with a configuration and keys that have run
+        # Given a mesh with a configuration and keys that have been executed
         mesh.run(mesh.start_configured())
         assert mesh.run(mesh.configure(4, 1)) == 200
         mesh.run(mesh.run_traffic(3.0, 60.0))
@@ -138,7 +138,7 @@
         for address in (remaining, *(address for address in mesh.core if address != remaining)):
             mesh.restart(address)
             mesh.wait(3.0)
-        # Then it has three members, the configuration is in force, and the next one is accepted
+        # Then the core has three members, its configuration is in force, and the next one is accepted
         core = mesh.programs[mesh.leader()]
         assert isinstance(core, ControlPlane) and len(core.replica_server.replica.members) == 3
         assert mesh.run(mesh.configure(6, 4)) == 200
@@ -179,7 +179,7 @@
         mesh.run(mesh.start_configured())
         absent = next(address for address in mesh.core if address != mesh.leader())
         mesh.kill(absent)
-        # When configurations of 100 kB are committed while it is down, and on after its restart
+        # When configurations of 100 kB are committed while it is down, and one more after its restart
         many_routes = [route(f"/{number:05d}/{'x' * 60}") for number in range(600)]
         for revision in range(2, 32):
             assert mesh.run(mesh.configure(revision, revision - 1, routes=many_routes)) == 200
@@ -190,7 +190,7 @@
         while member.replica_server.state.revision < 31:
             mesh.wait(0.05)
             assert mesh.loop.time() - restarted_at < 4.0
-        # Then it has them from a snapshot, at which its log begins
+        # Then it has received them in a snapshot, with which its log begins
         assert member.replica_server.replica.log.snapshot_index > 0
         assert mesh.run(mesh.configure(32, 31, routes=many_routes)) == 200
         mesh.wait(0.3)
--- a/stories/mesh/test_data_plane_process.py
+++ b/stories/mesh/test_data_plane_process.py
@@ -33,7 +33,7 @@
 
         mesh.wait(0.1)
         assert mesh.run(is_ready()) == 503
-        # Clients see that within two seconds, and use other proxies
+        # Clients notice that within two seconds, and then use other proxies
         mesh.run(mesh.run_traffic(1.9, 60.0))
         mesh.run(mesh.run_traffic(4.0, 60.0, at=others))
         assert set(mesh.traffic_log.status_counts) == {200} and not mesh.find_violations(), (
--- a/stories/mesh/test_keyed_requests.py
+++ b/stories/mesh/test_keyed_requests.py
@@ -59,7 +59,7 @@
         for address in all_addresses:
             mesh.restart(address)
         assert mesh.run(mesh.wait_ready(2.0))
-        # Its response was lost with the proxy that held it: the outcome is unknown, and stays so
+        # The response was lost with the proxy that stored it: the outcome is unknown, and remains unknown
         assert mesh.run(mesh.request(mesh.planes[1], "keyed", "k-old", max_attempts=1)) == 502
         mesh.run(mesh.run_traffic(3.0, 60.0))
         assert mesh.traffic_log.runs_by_key["k-old"] == 1 and not mesh.find_violations(), (
--- a/stories/mesh/test_link_congestion.py
+++ b/stories/mesh/test_link_congestion.py
@@ -1,4 +1,4 @@
-"""Simulated meshes whose links are nearly full: downloads beside short requests (incident SHORT)."""
+"""Simulated meshes whose links are nearly full: downloads concurrent with short requests (incident SHORT)."""
 
 import asyncio
 import logging
@@ -17,14 +17,14 @@
 structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 BANDWIDTH_MBPS = 3.5
 DOWNLOAD_BYTES = 90_000
-DOWNLOADS_PER_S_AT_CAPACITY = 2 * BANDWIDTH_MBPS * 1e6 / 8.0 / DOWNLOAD_BYTES  # two machines send them
+DOWNLOADS_PER_S_AT_CAPACITY = 2 * BANDWIDTH_MBPS * 1e6 / 8.0 / DOWNLOAD_BYTES  # two machines serve them
 SEARCH_TARGET_S = 0.8
 
 
 class CongestedMesh:
-    """Six machines that search, and two with files, which the searches look up rates at.
+    """Six machines with the search service, and two with the files service, which searches call for rates.
 
-    There is capacity for all executions: only the links of the two machines with files may be short.
+    There is capacity for all executions: only the links of the two machines with files may be saturated.
     """
 
     def __init__(self, mesh: SimulatedMesh) -> None:
@@ -61,7 +61,7 @@
         await self.mesh.attempt_once(self.rng.choice(self.mesh.planes), "maps")
 
     def run_traffic(self, seconds: float, link_load: float) -> None:
-        """Send twenty searches a second, and downloads that take this share of the links' bandwidth."""
+        """Send twenty searches a second, and downloads that need this share of the links' bandwidth."""
 
         async def send(per_s: float, start: Callable[[], Coroutine[Any, Any, None]]) -> None:
             tasks = []
@@ -109,11 +109,11 @@
 @test("a link that was full for some seconds recovers at once, and no peer that runs is taken for dead")
 def _() -> None:
     with simulated_mesh(seed=53, planes=8, services=SERVICES) as mesh:
-        # Given downloads of one and a half times what the links can carry
+        # Given downloads that need one and a half times the bandwidth of the links
         congested = CongestedMesh(mesh)
         closed_before = congested.closed_connections()
         congested.run_traffic(8.0, link_load=1.5)
-        # When they are fewer again
+        # When they need half of it
         mesh.wait(1.0)
         started_at = mesh.loop.time()
         congested.run_traffic(10.0, link_load=0.5)
@@ -128,7 +128,7 @@
 @test("a proxy that shuts down first sends the responses that wait for its link")
 def _() -> None:
     with simulated_mesh(seed=57, planes=2, services=["search", "files"]) as mesh:
-        # Given an execution that ends when its proxy would, and a response that takes one more second
+        # Given an execution that ends when its proxy would exit, and a response that takes one more second
         mesh.limit_links(0.5)
         mesh.run(mesh.start_configured(routes=[route("maps", "download", "files", {"timeout-s": 6})]))
         backend = mesh.backends[mesh.planes[1]]
@@ -141,7 +141,7 @@
             status, _ = await request
             return status
 
-        # When that proxy is asked to end meanwhile
+        # When that proxy is terminated meanwhile
         status = mesh.run(request_and_terminate())
         # Then
         assert status == 200 and not mesh.find_violations(), f"{status} {mesh.find_violations()}"
--- a/stories/mesh/test_misbehaving_backends.py
+++ b/stories/mesh/test_misbehaving_backends.py
@@ -1,4 +1,4 @@
-"""A simulated mesh whose backends misbehave: what they executed is compared with what clients saw."""
+"""A simulated mesh with misbehaving backends: their executions are compared with the responses to clients."""
 
 import asyncio
 import random
@@ -18,7 +18,10 @@
 
 
 class MisbehavingWriter:
-    """The backend's end of one connection; it is given complete responses, one for each write."""
+    """The writer of a backend's connection, which corrupts, repeats or drops some of the responses.
+
+    Each write has to be one complete response.
+    """
 
     def __init__(self, writer: asyncio.StreamWriter, rng: random.Random) -> None:
         self._writer = writer
@@ -89,7 +92,7 @@
 
 
 async def send_and_count_statuses(mesh: SimulatedMesh, count: int) -> Counter[int]:
-    """Count the statuses of so many non-idempotent requests, which their client does not retry."""
+    """Send non-idempotent requests without client retries, and count the statuses of their responses."""
 
     async def send_one(index: int) -> int:
         await asyncio.sleep(index * 0.01)
@@ -113,6 +116,6 @@
         status_counts = mesh.run(send_and_count_statuses(mesh, 300))
         runs = {id: count for id, count in mesh.traffic_log.runs.items() if id not in before}
         assert set(runs.values()) == {1} and not mesh.find_violations(), mesh.find_violations()
-        # Nothing was executed of what got 503: there are at most as many executions as other statuses.
+        # A request that got 503 was not executed: there are at most as many executions as other statuses.
         assert len(runs) <= sum(status_counts.values()) - status_counts[503], status_counts
         assert status_counts[200] > 100, status_counts
--- a/stories/mesh/test_requests.py
+++ b/stories/mesh/test_requests.py
@@ -12,30 +12,30 @@
 
 structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 BAD_REQUESTS: list[tuple[str, bytes, int]] = [
-    ("no HTTP", b"\x16\x03\x01 nonsense\r\n\r\n", 400),
-    ("no id", b"GET /idempotent/1 HTTP/1.1\r\nHost: x\r\n\r\n", 400),
-    ("no host there", b"GET /idempotent/1 HTTP/1.1\r\nCometdoor-Attempt-Id: a\r\n\r\n", 400),
+    ("not HTTP", b"\x16\x03\x01 nonsense\r\n\r\n", 400),
+    ("no attempt id", b"GET /idempotent/1 HTTP/1.1\r\nHost: x\r\n\r\n", 400),
+    ("no Host header", b"GET /idempotent/1 HTTP/1.1\r\nCometdoor-Attempt-Id: a\r\n\r\n", 400),
     (
-        "two ids",
+        "two attempt ids",
         b"GET /idempotent/1 HTTP/1.1\r\nHost: x\r\nCometdoor-Attempt-Id: a\r\n"
         b"Cometdoor-Attempt-Id: b\r\n\r\n",
         400,
     ),
     (
-        "a deadline in words",
+        "a deadline that is not a number",
         b"GET /idempotent/1 HTTP/1.1\r\nHost: x\r\nCometdoor-Attempt-Id: a\r\n"
         b"Cometdoor-Deadline-Ms: soon\r\n\r\n",
         400,
     ),
     (
-        "length and coding",
+        "Content-Length and Transfer-Encoding",
         b"POST /idempotent/1 HTTP/1.1\r\nHost: x\r\nCometdoor-Attempt-Id: a\r\n"
         b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"0\r\n\r\nGET /x HTTP/1.1\r\n\r\n",
         400,
     ),
     (
-        "two lengths",
+        "two Content-Length headers",
         b"POST /idempotent/1 HTTP/1.1\r\nHost: x\r\nCometdoor-Attempt-Id: a\r\n"
         b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabc",
         400,
@@ -90,7 +90,7 @@
                 for name, count in service_client.report().items():
                     if isinstance(count, int):
                         counts[name] = counts.get(name, 0) + count
-        # Then hedges were sent and won, and the losers cancelled; they were few
+        # Then hedges were sent, some of them won, slower attempts were cancelled, and hedges were few
         assert statuses.count(200) == 400 and not mesh.find_violations()
         assert counts["hedges"] >= 3 and counts["hedges_won"] >= 1 and counts["cancelled"] >= 1, counts
         assert counts["hedges"] <= 0.1 * counts["requests"], counts
@@ -139,11 +139,11 @@
             backend.capacity = 6
             if backend.service == "search":
                 backend.calls = ["/rates/1", "/rates/2"]
-        # Given that two of the three backends that the searches call are gone
+        # Given that two of the three backends that the searches call have been killed
         for address in (mesh.planes[1], mesh.planes[3]):
             mesh.kill_backend(address)
         mesh.wait(4.0)
-        # When 40 searches a second make 80 such calls, and 40 views a second contend, for six slots of 55 ms
+        # When 40 searches a second make 80 such calls and contend with 40 views a second for six 55 ms slots
         views: list[int] = []
         searches: list[int] = []
 
@@ -167,7 +167,7 @@
 @test("a proxy in need is leased retry budget by the core's leader, which idle ones have given up")
 def _() -> None:
     with simulated_mesh(seed=19) as mesh:
-        # Given a mesh with traffic, whose leader has led for longer than any earlier lease lasts
+        # Given a mesh with traffic, whose leader has led for longer than an earlier lease can last
         mesh.run(mesh.start_configured())
         mesh.run(mesh.run_traffic(26.0, 80.0))
         exhausted, idle = (mesh.data_plane(address) for address in mesh.planes[:2])
@@ -177,7 +177,7 @@
         for _ in range(8):
             share.record_retry(mesh.loop.time())
         mesh.run(mesh.run_traffic(3.0, 80.0))
-        # Then it may retry more than before, and another one less than its own share
+        # Then it may retry more than before, and another proxy less than its own share
         assert exhausted.outbound_proxy.budget_shares.report().get("pitches", 1.0) > before + 5.0, (
             exhausted.outbound_proxy.budget_shares.report()
         )
--- a/tests/docs/test_architecture.py
+++ b/tests/docs/test_architecture.py
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parent.parent.parent
 PAGE = (ROOT / "docs" / "ARCHITECTURE.md").read_text()
 MIN_QUESTIONS = 10
-# Pages of the present; the roadmap and the comparison of readability also name what was.
+# Pages on the current code; the roadmap and the comparison of readability also name former code.
 OTHER_PAGES = [
     ROOT / "README.md",
     *(
@@ -92,7 +92,7 @@
         {row[1].strip("`") for row in rows if row[0] == str(number)} for number in range(1, len(layers) + 1)
     ]
     assert stated == layers
-    assert len(rows) == sum(map(len, layers))  # no package stands twice
+    assert len(rows) == sum(map(len, layers))  # no package is listed twice
     for number, _, responsibility, may_import in rows:
         assert responsibility
         assert may_import == describe_lower_layers(int(number), len(layers))
--- a/tests/docs/test_glossary.py
+++ b/tests/docs/test_glossary.py
@@ -37,12 +37,12 @@
     assert len(row) == len(COLUMNS), row
     assert all(row), f"an empty cell in {row}"
     names = [re.fullmatch(r"`(\w+(?:\.\w+)*)`", part.strip()) for part in row[2].split(",")]
-    assert all(names), f"the code column is no list of dotted paths in backticks: {row}"
+    assert all(names), f"the code column is not a list of dotted paths in backticks: {row}"
     return [name[1] for name in names if name is not None]
 
 
 def has_member(owner: object, name: str) -> bool:
-    """Tell whether a class has a member, also a field without default or an attribute set in a method."""
+    """Return whether a class has a member, including fields without default and attributes set in methods."""
     if hasattr(owner, name):
         return True
     if not inspect.isclass(owner):
@@ -53,7 +53,7 @@
         try:
             tree = ast.parse(textwrap.dedent(inspect.getsource(cls)))
         except (OSError, TypeError):
-            continue  # of a library, and not written in Python
+            continue  # a library's class that is not written in Python
         for node in ast.walk(tree):
             match node:
                 case ast.Attribute(value=ast.Name(id="self"), attr=attribute, ctx=ast.Store()):
@@ -65,7 +65,7 @@
 
 
 def exists(path: str) -> bool:
-    """Tell whether a dotted path names a module, class, function, attribute or constant of the repository."""
+    """Return whether a path names a module, class, function, attribute or constant of the repository."""
     names = path.split(".")
     if not (ROOT / names[0] / "__init__.py").exists():
         return False
--- a/tests/docs/test_logs.py
+++ b/tests/docs/test_logs.py
@@ -30,7 +30,7 @@
 
 
 def named_events(cell: str) -> list[str]:
-    """Return the events in backticks, without keys, which are in brackets after them."""
+    """Return the events in backticks, without the keys that follow them in brackets."""
     return re.findall(r"`(.+?)`", re.sub(r"\(.*\)$", "", cell))
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what a line says, and what is rejected."""
+"""The list of tests that are known to fail: the format of its lines, and which lists are rejected."""
 
 from __future__ import annotations
 
