--- a/stories/control/test_linearizability.py
+++ b/stories/control/test_linearizability.py
@@ -11,8 +11,8 @@
 )
 
 
-def make_read(started_at: float, ended_at: float, answer: int) -> Operation:
-    return Operation(started_at, ended_at=ended_at, response=answer)
+def make_read(started_at: float, ended_at: float, response: int) -> Operation:
+    return Operation(started_at, ended_at=ended_at, response=response)
 
 
 def make_replacement(
--- a/tests/docs/test_runbook.py
+++ b/tests/docs/test_runbook.py
@@ -92,8 +92,8 @@
         if name not in BELOW_WARNING:
             self._add_event(node, node.args[1:2], LEVELS.get(name.lower(), ""))
 
-    def _add_event(self, node: ast.Call, first: list[ast.expr], level: str) -> None:
-        match first:
+    def _add_event(self, node: ast.Call, event_argument: list[ast.expr], level: str) -> None:
+        match event_argument:
             case [ast.Constant(value=str(text))] if level:
                 self.events.add(LogEvent(text, level))
             case _:
