--- a/standins/demo.py
+++ b/standins/demo.py
@@ -40,14 +40,14 @@
     name: str, attempts: Sequence[ClientAttempt], violations: Sequence[RuleViolation] | None
 ) -> list[str]:
     served = [attempt for attempt in attempts if attempt.was_served]
-    refused = sum(attempt.was_rejected for attempt in attempts)
+    rejected = sum(attempt.was_rejected for attempt in attempts)
     times = [attempt.seconds * 1000.0 for attempt in served]
     return [
         name,
         f"{len(attempts)}",
         f"{len(served)}",
-        f"{refused}",
-        f"{len(attempts) - len(served) - refused}",
+        f"{rejected}",
+        f"{len(attempts) - len(served) - rejected}",
         f"{percentile(times, 0.5):.1f}",
         f"{percentile(times, 0.99):.1f}",
         "" if violations is None else "kept" if not violations else f"[red]{len(violations)} broken",
@@ -85,38 +85,38 @@
                 file.write_text(services_file(addresses, CLASSES))
                 proxy = await ProxyProcess(file).start()
                 try:
-                    return await self._play(proxy, plain)
+                    return await self._run_load(proxy, plain)
                 finally:
                     await proxy.stop()
             finally:
                 await self.servers.stop()
 
-    async def _play(self, proxy: ProxyProcess, plain: bool) -> int:
+    async def _run_load(self, proxy: ProxyProcess, plain: bool) -> int:
         loads = {
             name: LoadGenerator(proxy.address, classes, index, name, self.ended_attempts.append)
             for index, (name, classes) in enumerate(LOADS.items())
         }
-        script = asyncio.ensure_future(self._run_script())
-        view = asyncio.ensure_future(self._show_live_view()) if not plain else None
+        fault_task = asyncio.ensure_future(self._freeze_and_thaw())
+        live_view = asyncio.ensure_future(self._show_live_view()) if not plain else None
         client_logs = dict(
             zip(
                 loads, await asyncio.gather(*(load.run(self.seconds) for load in loads.values())), strict=True
             )
         )
-        await script
-        if view is not None:
-            await view
+        await fault_task
+        if live_view is not None:
+            await live_view
         rows, all_rules_kept = [], True
         for name, client_log in client_logs.items():
             violations = check_rules(client_log, await self.servers.request_log(name))
             all_rules_kept = all_rules_kept and not violations
             rows.append(row(name, client_log.attempts, violations))
-            during = [
+            attempts_while_frozen = [
                 attempt
                 for attempt in client_log.attempts
                 if self.frozen_at <= attempt.sent_at < self.thawed_at
             ]
-            rows.append(row(f"  {FROZEN_SERVICE} frozen", during, None))
+            rows.append(row(f"  {FROZEN_SERVICE} frozen", attempts_while_frozen, None))
             for violation in violations[:5]:
                 self.console.print(f"rule {violation.rule}: {violation.text}")
         self.console.print(
@@ -134,7 +134,7 @@
             else 1
         )
 
-    async def _run_script(self) -> None:
+    async def _freeze_and_thaw(self) -> None:
         await asyncio.sleep(FREEZE_START_SHARE * self.seconds)
         self.frozen_at = time.monotonic()
         await self.servers.command("freeze", FROZEN_SERVICE)
--- a/standins/http_client.py
+++ b/standins/http_client.py
@@ -37,5 +37,5 @@
         if colon:
             fields[name.strip().lower()] = value.strip()
     body = await reader.readexactly(int(fields.get("content-length", "0")))
-    first = head[0].split(" ")
-    return int(first[1]) if first[0].startswith("HTTP/") else 0, fields, body
+    start_line = head[0].split(" ")
+    return int(start_line[1]) if start_line[0].startswith("HTTP/") else 0, fields, body
--- a/standins/mesh.py
+++ b/standins/mesh.py
@@ -50,7 +50,7 @@
 
 def configuration(revision: int, routes: list[dict[str, object]] | None = None) -> bytes:
     routes = routes or [route("idempotent"), route("keyed", "keyed")]
-    services = sorted({str(one["service"]) for one in routes})
+    services = sorted({str(entry["service"]) for entry in routes})
     return json.dumps(
         {
             "revision": revision,
@@ -234,9 +234,13 @@
             return 0, 0.0
         if status == 200:
             seal = fields.get("cometdoor-response-seal", "")
-            ran = traffic_log.seals.get(seal)
-            if ran is None or ran.encode() != body.rstrip(PADDING) or (not key and ran != attempt):
-                traffic_log.violations.append(f"MIXED: {attempt} got the answer of {ran}")
+            executed_attempt = traffic_log.seals.get(seal)
+            if (
+                executed_attempt is None
+                or executed_attempt.encode() != body.rstrip(PADDING)
+                or (not key and executed_attempt != attempt)
+            ):
+                traffic_log.violations.append(f"MIXED: {attempt} got the answer of {executed_attempt}")
         return status, float(fields.get("retry-after", "0.1"))
 
     async def run_traffic(
@@ -316,10 +320,10 @@
             await mesh.stop()
         traffic_log, violations = mesh.traffic_log, mesh.find_violations()
         served = traffic_log.status_counts[200]
-        other_ends = {
+        other_statuses = {
             status: count for status, count in sorted(traffic_log.status_counts.items()) if status != 200
         }
-        print(f"\n{traffic_log.request_count} requests: {served} served; other ends: {other_ends}")
+        print(f"\n{traffic_log.request_count} requests: {served} served; other ends: {other_statuses}")
         runs, keys = sum(traffic_log.runs.values()), len(traffic_log.runs_by_key)
         print(
             "BROKEN: " + "; ".join(violations[:5])
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -23,8 +23,8 @@
 
     The last one is repeated for machines with few cores.
     """
-    found = sorted(os.sched_getaffinity(0))
-    return found + found[-1:] * 4
+    cores = sorted(os.sched_getaffinity(0))
+    return cores + cores[-1:] * 4
 
 
 class ServerProcess:
--- a/standins/request_log.py
+++ b/standins/request_log.py
@@ -53,11 +53,11 @@
 
     def effects(self) -> dict[str, list[RequestLogEntry]]:
         """Return the attempts that took effect, by request id."""
-        found: dict[str, list[RequestLogEntry]] = {}
+        entries_by_request: dict[str, list[RequestLogEntry]] = {}
         for entry in self.entries:
             if entry.has_executed:
-                found.setdefault(entry.request, []).append(entry)
-        return found
+                entries_by_request.setdefault(entry.request, []).append(entry)
+        return entries_by_request
 
     def entries_of(self, server: str) -> list[RequestLogEntry]:
         return [entry for entry in self.entries if entry.server == server]
--- a/standins/server_process.py
+++ b/standins/server_process.py
@@ -95,7 +95,7 @@
             )
             return {"addresses": addresses}
         server_group = self._server_groups[name]
-        chosen = (
+        selected = (
             server_group.servers
             if command.get("number") is None
             else [server_group.servers[command["number"]]]
@@ -115,10 +115,10 @@
                     server.model.slow_start_peak = 0.0
                 return {"peak": max(peaks)}
             case "restart":
-                for server in chosen:
+                for server in selected:
                     await server.restart()
             case "freeze" | "thaw" | "stop" as action:
-                for server in chosen:
+                for server in selected:
                     getattr(server, action)()
             case unknown_command:
                 raise ValueError(f"no order {unknown_command!r}")
@@ -127,7 +127,7 @@
 
 async def main() -> None:
     server_groups = ServerGroups()
-    watching = asyncio.ensure_future(server_groups.measure_lateness())
+    lateness_task = asyncio.ensure_future(server_groups.measure_lateness())
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
@@ -136,7 +136,7 @@
         reply = await server_groups.execute(orjson.loads(line))
         sys.stdout.buffer.write(orjson.dumps(reply) + b"\n")
         sys.stdout.buffer.flush()
-    watching.cancel()
+    lateness_task.cancel()
 
 
 if __name__ == "__main__":
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -57,7 +57,7 @@
         self.results: list[tuple[float, str, int]] = []  # start, kind, last status
         self._ended_on_purpose: set[int] = set()  # process ids
         self._tasks: set[asyncio.Task[None]] = set()
-        self._troubles: list[Callable[[], object]] = [
+        self._faults: list[Callable[[], object]] = [
             lambda: self._kill(self.rng.choice(self.mesh.planes)),
             lambda: self._kill(self.rng.choice(self.mesh.core)),
             lambda: self._pause(self.rng.choice(self.mesh.planes)),
@@ -72,15 +72,15 @@
             if backend.service == "search":
                 backend.calls = ["/rates/1", "/rates/2"]
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     # --- troubles ---
 
-    def _note(self, text: str) -> None:
-        self.history.append(f"{time.monotonic():.2f} {text}")
+    def _record(self, message: str) -> None:
+        self.history.append(f"{time.monotonic():.2f} {message}")
 
     def _is_running(self, address: str) -> bool:
         process = self.mesh.processes[address]
@@ -90,7 +90,7 @@
         if not self._is_running(address):
             return
         process, after_s = self.mesh.processes[address], self.rng.uniform(0.2, 2.0)
-        self._note(f"{address} is killed, and started again after {after_s:.2f} s")
+        self._record(f"{address} is killed, and started again after {after_s:.2f} s")
         self._ended_on_purpose.add(process.pid)
         process.kill()
 
@@ -105,7 +105,7 @@
         if not self._is_running(address):
             return
         process, for_s = self.mesh.processes[address], self.rng.uniform(0.3, 3.5)
-        self._note(f"{address} is paused for {for_s:.2f} s")
+        self._record(f"{address} is paused for {for_s:.2f} s")
         process.send_signal(signal.SIGSTOP)
 
         async def resume() -> None:
@@ -117,18 +117,18 @@
 
     def _drop_responses(self) -> None:
         address = self.rng.choice(self.mesh.planes)
-        self._note(f"the backend at {address} loses its next five responses")
+        self._record(f"the backend at {address} loses its next five responses")
         self.mesh.backends[address].responses_to_drop = 5
 
     def _reset_backend_connections(self) -> None:
         address = self.rng.choice(self.mesh.planes)
-        self._note(f"the backend at {address} resets its connections")
+        self._record(f"the backend at {address} resets its connections")
         self.mesh.backends[address].reset_connections()
 
-    async def _make_troubles(self) -> None:
+    async def _inject_faults(self) -> None:
         for _ in range(ROUNDS):
-            for trouble in self.rng.sample(self._troubles, self.rng.choice((2, 3))):
-                trouble()
+            for fault in self.rng.sample(self._faults, self.rng.choice((2, 3))):
+                fault()
                 await asyncio.sleep(self.rng.uniform(0.0, 0.4))
             await asyncio.sleep(ROUND_S)
 
@@ -155,7 +155,7 @@
             await asyncio.sleep(1.0)
             calm_from = time.monotonic() + ROUNDS * (ROUND_S + 0.6) + CALM_BEFORE_S
             await asyncio.gather(
-                self._make_troubles(),
+                self._inject_faults(),
                 *(self._send(kind, per_s, calm_from + CALM_S) for kind, per_s in REQUESTS_PER_S.items()),
             )
             while self._tasks:
@@ -186,13 +186,16 @@
 def soak(seed: int) -> list[str]:
     """Play one seed, print its result, and return its problems."""
     with tempfile.TemporaryDirectory(prefix="cometdoor-soak-") as name:
-        one = Soak(Path(name), seed)
-        asyncio.run(one.run())
-    served = sum(status == 200 for _, _, status in one.results)
-    print(f"seed {seed}: {served} of {len(one.results)} served, {len(one.problems)} problems", flush=True)
-    for text in one.problems and [*one.history, *one.problems]:
-        print(f"    {text}", flush=True)
-    return one.problems
+        soak_run = Soak(Path(name), seed)
+        asyncio.run(soak_run.run())
+    served = sum(status == 200 for _, _, status in soak_run.results)
+    print(
+        f"seed {seed}: {served} of {len(soak_run.results)} served, {len(soak_run.problems)} problems",
+        flush=True,
+    )
+    for message in soak_run.problems and [*soak_run.history, *soak_run.problems]:
+        print(f"    {message}", flush=True)
+    return soak_run.problems
 
 
 def main() -> int:
--- a/tests/standins/test_rules.py
+++ b/tests/standins/test_rules.py
@@ -27,9 +27,9 @@
 def test_a_safe_request_may_run_twice_and_a_rejected_one_may_be_retried() -> None:
     safe = replace(SERVED, effect="safe")
     assert check_rules(ClientLog([safe]), RequestLog([EXECUTED, replace(EXECUTED, server="s2")])) == []
-    refused = replace(SERVED, status=503)
-    again = replace(SERVED, request="c-2", sent_at=10.3, ended_at=10.5)
-    assert check_rules(ClientLog([refused, again]), RequestLog([replace(EXECUTED, request="c-2")])) == []
+    rejected = replace(SERVED, status=503)
+    retry = replace(SERVED, request="c-2", sent_at=10.3, ended_at=10.5)
+    assert check_rules(ClientLog([rejected, retry]), RequestLog([replace(EXECUTED, request="c-2")])) == []
 
 
 @pytest.mark.parametrize(
@@ -58,8 +58,10 @@
 
 
 def test_a_drain_violation_is_found_from_a_quarter_of_a_second_on() -> None:
-    for notified_at, broken in ((9.9, []), (9.7, [3])):
-        assert rules(check_rules(ClientLog([SERVED]), RequestLog([EXECUTED]), {"s1": notified_at})) == broken
+    for notified_at, expected in ((9.9, []), (9.7, [3])):
+        assert (
+            rules(check_rules(ClientLog([SERVED]), RequestLog([EXECUTED]), {"s1": notified_at})) == expected
+        )
 
 
 def test_an_overload_crash_is_found() -> None:
--- a/tests/standins/test_server_model.py
+++ b/tests/standins/test_server_model.py
@@ -26,7 +26,7 @@
     return ServerModel("s", RequestLog(), behaviour=Behaviour(latency=fixed(1.0), **behaviour))  # type: ignore[arg-type]
 
 
-def fates(server: ServerModel) -> list[ExecutionState]:
+def execution_states(server: ServerModel) -> list[ExecutionState]:
     return [entry.execution_state for entry in server.request_log.entries]
 
 
@@ -34,11 +34,17 @@
     server = model(slots=1, body=b"x")
     first, _ = server.arrive(0.0, "r1", "", 0.0)
     second, _ = server.arrive(0.0, "r2", "", 0.0)
-    assert server.advance(0.0) == [] and fates(server) == [ExecutionState.RUNNING, ExecutionState.QUEUED]
+    assert server.advance(0.0) == [] and execution_states(server) == [
+        ExecutionState.RUNNING,
+        ExecutionState.QUEUED,
+    ]
     assert server.next_due() == 1.0 and server.pending_count() == 2
     assert server.advance(1.0) == [(first, Reply(200, b"x"))]
     assert server.advance(2.0) == [(second, Reply(200, b"x"))]
-    assert fates(server) == [ExecutionState.EXECUTED, ExecutionState.EXECUTED] and server.next_due() is None
+    assert (
+        execution_states(server) == [ExecutionState.EXECUTED, ExecutionState.EXECUTED]
+        and server.next_due() is None
+    )
 
 
 def test_an_abandoned_request_was_executed_if_it_ran_and_not_if_it_was_queued() -> None:
@@ -48,15 +54,15 @@
     for call in calls:
         server.abandon(0.5, call)
         server.abandon(0.6, call)
-    assert fates(server) == [ExecutionState.EXECUTED, ExecutionState.DROPPED]
+    assert execution_states(server) == [ExecutionState.EXECUTED, ExecutionState.DROPPED]
     assert list(server.request_log.effects()) == ["r0"]
     assert server.advance(9.0) == []
 
 
 def test_a_key_takes_effect_once_in_its_group_while_it_is_retained() -> None:
     request_log, keys = RequestLog(), KeyStore(ttl_s=10.0)
-    one, two = (ServerModel(name, request_log, keys=keys) for name in ("s1", "s2"))
-    for server, at in ((one, 0.0), (two, 1.0), (two, 12.0)):
+    server_1, server_2 = (ServerModel(name, request_log, keys=keys) for name in ("s1", "s2"))
+    for server, at in ((server_1, 0.0), (server_2, 1.0), (server_2, 12.0)):
         server.arrive(at, f"r{at}", "k", at)
         server.advance(at)
     assert [entry.has_executed for entry in request_log.entries] == [True, False, True]
@@ -75,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    ("share", "status", "ran"),
+    ("share", "status", "was_executed"),
     [
         ("error_share", 500, True),
         ("rejected_share", 503, False),
@@ -83,13 +89,13 @@
         ("reset_after_share", 0, True),
     ],
 )
-def test_each_fault_shows_in_status_and_request_log(share: str, status: int, ran: bool) -> None:
+def test_each_fault_shows_in_status_and_request_log(share: str, status: int, was_executed: bool) -> None:
     server = model(**{share: 1.0})
     _, reply = server.arrive(0.0, "r", "", 0.0)
     if reply is None:
         ((_, reply),) = [*server.advance(0.0), *server.advance(1.0)]
     assert reply.status == status and reply.not_executed == (status == 503)
-    assert server.request_log.entries[0].has_executed is ran
+    assert server.request_log.entries[0].has_executed is was_executed
 
 
 def test_a_draining_server_finishes_its_requests_and_rejects_new_ones() -> None:
@@ -110,12 +116,12 @@
     assert replies == [None, None, Reply(503, not_executed=True)]
 
 
-COLD = SlowStart(start=0.5, warm_up_s=10.0, rate=10.0, overload_factor=2.0, window_s=1.0, slack=0.0)
+SLOW_START = SlowStart(start=0.5, warm_up_s=10.0, rate=10.0, overload_factor=2.0, window_s=1.0, slack=0.0)
 
 
 def test_a_starting_server_is_slow_and_crashes_when_overloaded() -> None:
     server = ServerModel(
-        "s", RequestLog(), behaviour=Behaviour(latency=fixed(1.0)), slow_start=COLD, started_at=0.0
+        "s", RequestLog(), behaviour=Behaviour(latency=fixed(1.0)), slow_start=SLOW_START, started_at=0.0
     )
     server.arrive(0.0, "r", "", 0.0)
     server.advance(0.0)
@@ -129,7 +135,7 @@
 
 
 def test_a_server_after_slow_start_does_not_crash() -> None:
-    server = ServerModel("s", RequestLog(), slow_start=COLD, started_at=-100.0)
+    server = ServerModel("s", RequestLog(), slow_start=SLOW_START, started_at=-100.0)
     assert all(server.arrive(0.0, f"r{number}", "", 0.0)[1] is None for number in range(200))
 
 
@@ -144,9 +150,9 @@
     server = model()
     server.arrive(0.0, "r", "k", 0.0)
     server.request_log.overload_crashes.append(("s", 1.0))
-    both = RequestLog.load([server.request_log.dump(), server.request_log.dump()])
-    assert both.entries == server.request_log.entries * 2 and both.overload_crashes == [("s", 1.0)] * 2
-    assert both.entries_of("s") == both.entries and both.entries_of("t") == []
+    merged = RequestLog.load([server.request_log.dump(), server.request_log.dump()])
+    assert merged.entries == server.request_log.entries * 2 and merged.overload_crashes == [("s", 1.0)] * 2
+    assert merged.entries_of("s") == merged.entries and merged.entries_of("t") == []
 
 
 STEPS = st.lists(
@@ -174,31 +180,31 @@
             reset_after_share=0.1,
             rejected_share=0.1,
         ),
-        slow_start=COLD,
+        slow_start=SLOW_START,
         started_at=0.0,
     )
-    now, out, ended = 0.0, list[Call](), set[str]()
-    for number, (what, wait, choice) in enumerate(steps):
+    now, pending, ended = 0.0, list[Call](), set[str]()
+    for number, (step, wait, choice) in enumerate(steps):
         now += wait
-        match what:
+        match step:
             case "arrive":
                 call, reply = server.arrive(now, f"r{number}", "k" * (choice == 0), now)
                 if reply is None:
-                    out.append(call)
-            case "give up" if out:
-                server.abandon(now, out.pop(choice % len(out)))
+                    pending.append(call)
+            case "give up" if pending:
+                server.abandon(now, pending.pop(choice % len(pending)))
             case "freeze":
                 server.freeze(now)
             case "thaw":
                 server.thaw(now)
             case "restart":
                 server.restart(now)
-                out.clear()
+                pending.clear()
         for call, _ in server.advance(now):
             assert call.entry.request not in ended
             ended.add(call.entry.request)
-            out.remove(call)
-        assert server.pending_count() == len(out)
+            pending.remove(call)
+        assert server.pending_count() == len(pending)
         assert (
             len(
                 [
@@ -210,6 +216,6 @@
             <= slots
         )
         assert all(
-            (entry.ended_at is None) == any(call.entry is entry for call in out)
+            (entry.ended_at is None) == any(call.entry is entry for call in pending)
             for entry in server.request_log.entries
         )
--- a/tests/standins/test_sockets.py
+++ b/tests/standins/test_sockets.py
@@ -19,20 +19,22 @@
 
 
 async def serve(**behaviour: object) -> StandInServer:
-    chosen = Behaviour(latency=exponential(0.001))
+    server_behaviour = Behaviour(latency=exponential(0.001))
     for name, value in behaviour.items():
-        setattr(chosen, name, value)
-    return await StandInServer(ServerModel("s", RequestLog(), behaviour=chosen)).start()
+        setattr(server_behaviour, name, value)
+    return await StandInServer(ServerModel("s", RequestLog(), behaviour=server_behaviour)).start()
 
 
 def test_an_open_loop_load_ends_each_attempt_once_and_the_request_log_agrees() -> None:
     async def test() -> None:
         server = await serve(slots=2)
         client_log = await LoadGenerator(server.address, [CHARGE], 3).run(0.5)
-        assert 60 < len(client_log.attempts) < 140 and all(one.was_served for one in client_log.attempts)
+        assert 60 < len(client_log.attempts) < 140 and all(
+            attempt.was_served for attempt in client_log.attempts
+        )
         assert check_rules(client_log, server.model.request_log) == []
         assert {entry.request for entry in server.model.request_log.entries} == {
-            one.request for one in client_log.attempts
+            attempt.request for attempt in client_log.attempts
         }
         assert client_log.for_service("a") == client_log.attempts
 
@@ -40,12 +42,12 @@
 
 
 def test_the_same_seed_makes_the_same_load() -> None:
-    async def orders(seed: int) -> int:
+    async def attempt_count(seed: int) -> int:
         server = await serve()
         return len((await LoadGenerator(server.address, [CHARGE], seed).run(0.3)).attempts)
 
     async def test() -> None:
-        assert await orders(5) == await orders(5)
+        assert await attempt_count(5) == await attempt_count(5)
 
     run(test)
 
@@ -71,9 +73,9 @@
         )
         load.start_operation(load.classes[0])
         client_log = await load.run(0.0)
-        assert {(one.outcome, one.status) for one in client_log.attempts} == {(outcome, status)}
+        assert {(attempt.outcome, attempt.status) for attempt in client_log.attempts} == {(outcome, status)}
         assert len(client_log.attempts) == (2 if status == 503 else 1)
-        assert len({one.operation for one in client_log.attempts}) == 1
+        assert len({attempt.operation for attempt in client_log.attempts}) == 1
 
     run(test)
 
@@ -85,12 +87,14 @@
         server.stop()
         load = LoadGenerator(address, [CHARGE])
         load.start_operation(load.classes[0])
-        assert [one.outcome for one in (await load.run(0.0)).attempts] == [ClientOutcome.CONNECT_FAILED]
+        assert [attempt.outcome for attempt in (await load.run(0.0)).attempts] == [
+            ClientOutcome.CONNECT_FAILED
+        ]
         await server.restart()
         assert server.address == address
-        again = LoadGenerator(address, [CHARGE])
-        again.start_operation(again.classes[0])
-        assert [one.status for one in (await again.run(0.0)).attempts] == [200]
+        second_load = LoadGenerator(address, [CHARGE])
+        second_load.start_operation(second_load.classes[0])
+        assert [attempt.status for attempt in (await second_load.run(0.0)).attempts] == [200]
 
     run(test)
 
@@ -109,7 +113,7 @@
             and not running.done()
         )
         server.thaw()
-        assert [one.status for one in (await running).attempts] == [200]
+        assert [attempt.status for attempt in (await running).attempts] == [200]
 
     run(test)
 
@@ -141,16 +145,16 @@
         writer.write(b"GET /discovery/hosts?stream=1&index=0 HTTP/1.1\r\nHost: d\r\n\r\n")
         await reader.readuntil(b"\r\n\r\n")
 
-        async def line() -> dict[str, object]:
+        async def read_update() -> dict[str, object]:
             size = int(await reader.readline(), 16)
             content: dict[str, object] = json.loads(await reader.readexactly(size))
             await reader.readline()
             return content
 
-        first = await line()
+        first = await read_update()
         assert first["complete"] and first["members"][0]["id"] == "s1"  # type: ignore[index]
         discovery.publish("s1", "h:1", "terminated")
-        while (change := await line())["members"][0]["phase"] != "terminated":  # type: ignore[index]
+        while (change := await read_update())["members"][0]["phase"] != "terminated":  # type: ignore[index]
             pass
         assert change["complete"] is False and ("s1", "terminated") in discovery.notified_at
         reader_2, writer_2 = await asyncio.open_connection(*discovery.address)
--- a/tools/dependencies.py
+++ b/tools/dependencies.py
@@ -25,20 +25,20 @@
     """
     project = tomllib.loads(pyproject.read_text())["project"]
     own_extras = re.compile(rf"{re.escape(project['name'])}\[([^]]+)\]")
-    found: dict[str, None] = {}
+    collected: dict[str, None] = {}
 
     def add(requirements: Iterable[str]) -> None:
         for requirement in requirements:
-            if own := own_extras.fullmatch(requirement):
-                for extra in own[1].split(","):
+            if own_extra := own_extras.fullmatch(requirement):
+                for extra in own_extra[1].split(","):
                     add(project["optional-dependencies"][extra.strip()])
             else:
-                found[requirement.replace(" ", "")] = None
+                collected[requirement.replace(" ", "")] = None
 
     add(project["dependencies"])
     for extra in extras:
         add(project["optional-dependencies"][extra])
-    return list(found)
+    return list(collected)
 
 
 def main() -> None:
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -26,10 +26,10 @@
     for number, line in enumerate(path.read_text().splitlines(), 1):
         if not line.strip():
             continue
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts):
+        fields = [part.strip() for part in line.split("|")]
+        if len(fields) != 3 or not all(fields):
             raise ValueError(f"{path.name}:{number}: not of the form 'test | cause | issue'")
-        listed[parts[0]] = f"{parts[1]} ({parts[2]})"
+        listed[fields[0]] = f"{fields[1]} ({fields[2]})"
     if len(listed) > MAX_TESTS:
         raise ValueError(f"{path.name}: {len(listed)} tests; {MAX_TESTS} at most")
     return listed
