--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,7 @@
     services: int = 57
     calls_per_s: float = 49_000.0
     depth: int = 16  # of nested calls, at most
-    changes_a_day: float = 1_100.0
+    changes_per_day: float = 1_100.0
     heartbeat_s: float = 1.5  # assumed: as on their sites today
     window_s: float = 65.0  # assumed: how long keys are kept, as today
     # Assumed, from the tables of four sites: 0.201 to 0.206 of the requests of clients are keyed (133 of 660,
@@ -38,12 +38,12 @@
     keyed_share: float = 0.206
 
     @property
-    def most_claims_per_s(self) -> float:
+    def max_claims_per_s(self) -> float:
         return self.calls_per_s * self.keyed_share
 
     @property
-    def least_claims_per_s(self) -> float:
-        return self.most_claims_per_s / self.depth
+    def min_claims_per_s(self) -> float:
+        return self.max_claims_per_s / self.depth
 
 
 TARGET = Target()
@@ -57,22 +57,22 @@
     gossip = f"gossip_{100 if quick else proxies}_members"
     claim_bytes = figures["frame_claim_bytes"] + figures["frame_claimed_bytes"]
     lease_bytes = figures["frame_need_of_57_services_bytes"] + figures["frame_granted_to_57_services_bytes"]
-    keyed = TARGET.most_claims_per_s / proxies
-    keys = TARGET.most_claims_per_s * TARGET.window_s
+    keyed = TARGET.max_claims_per_s / proxies
+    keys = TARGET.max_claims_per_s * TARGET.window_s
     largest = max(int(name.split("_")[1]) for name in figures if name.endswith("_keys_load_ms"))
     snapshot = f"snapshot_{largest}_keys"
     claim = f"claim_{voters}_voters_batch_{batch}"
-    most = "process_3_replicas_most"
-    leader_us = 1e6 * figures[f"{most}_leader_core"] / figures[f"{most}_claims_per_s"]
-    follower_us = 1e6 * figures[f"{most}_follower_core"] / figures[f"{most}_claims_per_s"]
+    at_max_rate = "process_3_replicas_most"
+    leader_us = 1e6 * figures[f"{at_max_rate}_leader_core"] / figures[f"{at_max_rate}_claims_per_s"]
+    follower_us = 1e6 * figures[f"{at_max_rate}_follower_core"] / figures[f"{at_max_rate}_claims_per_s"]
     # All work of a proxy for control. A readiness check comes once a second, and is estimated to cost as much
     # as a heartbeat on a new connection.
-    dialled = figures[f"{per_proxy}_heartbeat_dialled_us"] / 1e6
+    heartbeat_s_on_new_connection = figures[f"{per_proxy}_heartbeat_dialled_us"] / 1e6
     proxy_core = (
         figures[f"{per_proxy}_calm_calling_57_services_core"]
-        + dialled * (1.0 / TARGET.heartbeat_s + 1.0)
+        + heartbeat_s_on_new_connection * (1.0 / TARGET.heartbeat_s + 1.0)
         + keyed * (figures[f"{per_proxy}_keyed_call_us"] - figures[f"{per_proxy}_call_us"]) / 1e6
-        + TARGET.changes_a_day / DAY_S * figures[f"{per_proxy}_configuration_ms"] / 1e3
+        + TARGET.changes_per_day / DAY_S * figures[f"{per_proxy}_configuration_ms"] / 1e3
     )
     return {
         "target_proxy_core": proxy_core,
@@ -87,21 +87,21 @@
         "target_claim_bytes_per_s": keyed * claim_bytes,
         "target_lease_bytes_per_s": lease_bytes / 3.0,
         "target_lease_bytes_per_s_in_need": lease_bytes,
-        "target_configuration_bytes_per_s": TARGET.changes_a_day
+        "target_configuration_bytes_per_s": TARGET.changes_per_day
         / DAY_S
         * figures[f"configuration_{ROUTES}_routes_difference_bytes"],
         "target_rack_of_40_s_of_a_core": 40 * 2 * figures[f"{per_proxy}_changed_record_us"] / 1e6,
         "target_zone_of_196_s_of_a_core": 196 * 2 * figures[f"{per_proxy}_changed_record_us"] / 1e6,
-        "target_most_claims_per_s": TARGET.most_claims_per_s,
-        "target_least_claims_per_s": TARGET.least_claims_per_s,
-        "target_leader_claims_core": TARGET.most_claims_per_s * leader_us / 1e6,
-        "target_follower_claims_core": TARGET.most_claims_per_s * follower_us / 1e6,
+        "target_most_claims_per_s": TARGET.max_claims_per_s,
+        "target_least_claims_per_s": TARGET.min_claims_per_s,
+        "target_leader_claims_core": TARGET.max_claims_per_s * leader_us / 1e6,
+        "target_follower_claims_core": TARGET.max_claims_per_s * follower_us / 1e6,
         # At this rate there is little batching: one or two claims per sync.
-        "target_least_leader_claims_core": TARGET.least_claims_per_s
+        "target_least_leader_claims_core": TARGET.min_claims_per_s
         * figures["process_3_replicas_600_claims_leader_core"]
         / figures["process_3_replicas_600_claims_per_s"],
-        "target_log_bytes_per_s": TARGET.most_claims_per_s * figures[f"{claim}_log_bytes"],
-        "target_leader_sent_bytes_per_s_of_5": TARGET.most_claims_per_s
+        "target_log_bytes_per_s": TARGET.max_claims_per_s * figures[f"{claim}_log_bytes"],
+        "target_leader_sent_bytes_per_s_of_5": TARGET.max_claims_per_s
         * (figures[f"{claim}_leader_sent_bytes"] + figures["frame_claimed_bytes"]),
         "target_keys": keys,
         "target_keys_mb": keys * figures["memory_per_key"] / 1e6,
@@ -134,8 +134,8 @@
     quick = parser.parse_args().quick
     figures: Figures = {}
     with get_context("fork").Pool(2) as pool:
-        for found in pool.imap_unordered(measure, [("proxy", quick), ("replica", quick)]):
-            figures |= found
+        for measured in pool.imap_unordered(measure, [("proxy", quick), ("replica", quick)]):
+            figures |= measured
     figures |= at_target(figures, quick)
     for name, value in figures.items():
         print_progress(f"{name:55} {value:14.4f}")
--- a/benchmarks/capacity_mesh.py
+++ b/benchmarks/capacity_mesh.py
@@ -17,7 +17,7 @@
 from tempfile import TemporaryDirectory
 
 from benchmarks.capacity_records import (
-    HOLLOW_PORT,
+    NEIGHBOUR_PORT,
     NETWORK,
     PORTS,
     REPLICAS,
@@ -26,7 +26,7 @@
     SERVICES,
     ZONES,
     configuration_body,
-    hollow_address,
+    neighbour_address,
     record_of,
     service_name,
 )
@@ -52,10 +52,10 @@
 from standins.mesh import Mesh
 from standins.mesh_backend import CONTROL_PORT, HOST, INTERNAL_PORT, OUTBOUND_PORT
 
-NEIGHBOURS = 14  # that send digests to a proxy: its watchers and an active view
+DIGEST_SENDERS = 14  # that send digests to a proxy: its watchers and an active view
 
 
-COMPARED_EACH_S = 0.25
+DIGEST_INTERVAL_S = 0.25
 
 
 CALLERS = 8
@@ -70,29 +70,29 @@
     )
 
 
-class HollowMesh:
+class SimulatedNeighbours:
     """All neighbours of one proxy, played by this process."""
 
     def __init__(self, size: int, routes: int = ROUTES) -> None:
         loop = asyncio.get_running_loop()
         self.size = size
         self.routes = routes
-        self.connections = PeerConnections(loop, self._take)
-        self._replica_connections = PeerConnections(loop, self._take)
+        self.connections = PeerConnections(loop, self._on_message)
+        self._replica_connections = PeerConnections(loop, self._on_message)
         self.directory = Directory(_replica_record(0), [], random.Random(1), loop.time())
         self.bodies = {1: configuration_body(1, routes)}
         self.directory.revision = 1
         self._loop = loop
         self._versions = {number: 1 for number in range(1, size)}
-        self._compared = 0
+        self._digests_sent = 0
         self._timer: asyncio.TimerHandle | None = None
         known = [_replica_record(number) for number in range(1, REPLICAS)]
         known += [record_of(number) for number in self._versions]
         self.directory.on_update(GossipUpdate("", known, 1), loop.time())
-        self._forget()
+        self._clear_outbox()
 
     async def listen(self) -> None:
-        await self.connections.listen("0.0.0.0", HOLLOW_PORT)
+        await self.connections.listen("0.0.0.0", NEIGHBOUR_PORT)
         await self._replica_connections.listen("0.0.0.0", PORTS + 1)
 
     def close(self) -> None:
@@ -101,15 +101,15 @@
         self.connections.close()
         self._replica_connections.close()
 
-    def _forget(self) -> None:
+    def _clear_outbox(self) -> None:
         self.directory.outbox.clear()
         self.directory.requests.clear()
 
-    def _take(self, message: Message, connection: PeerConnection, call_id: int) -> None:
+    def _on_message(self, message: Message, connection: PeerConnection, call_id: int) -> None:
         reply = self._reply(message, connection)
         if reply is not None:
             connection.respond(call_id, reply)
-        self._forget()
+        self._clear_outbox()
 
     def _reply(self, message: Message, connection: PeerConnection) -> Message | None:
         now = self._loop.time()
@@ -140,45 +140,47 @@
     def _configuration(self, newer_than: int) -> ConfigurationReply:
         newest = max(self.bodies)
         if newer_than in self.bodies:
-            former = self.bodies[newer_than]
-            return ConfigurationReply(newest, delta.encode_delta(former, self.bodies[newest]), newer_than)
+            previous_body = self.bodies[newer_than]
+            return ConfigurationReply(
+                newest, delta.encode_delta(previous_body, self.bodies[newest]), newer_than
+            )
         return ConfigurationReply(newest, delta.compress(self.bodies[newest]))
 
-    def compare(self, peer: str) -> None:
+    def send_digests(self, peer: str) -> None:
         """Send digests at intervals as the proxy's neighbours do, each on its own connection."""
-        self._timer = self._loop.call_later(COMPARED_EACH_S, self.compare, peer)
-        self._compared += 1
+        self._timer = self._loop.call_later(DIGEST_INTERVAL_S, self.send_digests, peer)
+        self._digests_sent += 1
         request = self.directory.build_digest_request([])
-        request.sender = hollow_address(1 + self._compared % min(NEIGHBOURS, self.size - 1))
+        request.sender = neighbour_address(1 + self._digests_sent % min(DIGEST_SENDERS, self.size - 1))
         self.connections.call(peer, request, lambda reply: None, request.sender)
 
-    def change(self, peer: str, number: int) -> None:
+    def send_changed_record(self, peer: str, number: int) -> None:
         """Send the proxy a new version of a neighbour's record."""
         self._versions[number] += 1
-        news = GossipUpdate(
-            hollow_address(number), [record_of(number, self._versions[number])], max(self.bodies)
+        update = GossipUpdate(
+            neighbour_address(number), [record_of(number, self._versions[number])], max(self.bodies)
         )
-        self.directory.on_update(news, self._loop.time())
-        self._forget()
-        self.connections.send(peer, news)
+        self.directory.on_update(update, self._loop.time())
+        self._clear_outbox()
+        self.connections.send(peer, update)
 
-    def configure(self, peer: str) -> None:
+    def send_new_configuration(self, peer: str) -> None:
         revision = max(self.bodies) + 1
         self.bodies[revision] = configuration_body(revision, self.routes)
         self.directory.revision = revision
-        self.connections.send(peer, GossipUpdate(hollow_address(1), [], revision))
+        self.connections.send(peer, GossipUpdate(neighbour_address(1), [], revision))
 
 
 class RealProxy:
     """The proxy that is measured, and methods that give it work."""
 
-    def __init__(self, mesh: Mesh, hollow: HollowMesh) -> None:
-        self.hollow = hollow
+    def __init__(self, mesh: Mesh, neighbours: SimulatedNeighbours) -> None:
+        self.neighbours = neighbours
         [self.host] = mesh.planes
         self.peer = f"{self.host}:{PORTS}"
         self.pid = mesh.processes[self.host].pid
 
-    async def calm_core(self, seconds: float) -> float:
+    async def idle_core(self, seconds: float) -> float:
         """Return the proxy's processor time as a share of a core, without requests."""
         before, started_at = processor_s(self.pid), time.monotonic()
         await asyncio.sleep(seconds)
@@ -197,14 +199,14 @@
             await asyncio.sleep(0.002)
         writer.close()
 
-    async def heartbeats_dialled(self, count: int) -> None:
+    async def heartbeats_on_new_connections(self, count: int) -> None:
         for sequence in range(count):
             body = self._heartbeat(1_000_000 + sequence)
             await http_request(self.host, CONTROL_PORT, "POST", "/Instances.Heartbeat/i-1", {}, body)
             await asyncio.sleep(0.002)
 
     def _heartbeat(self, sequence: int) -> bytes:
-        beat = {
+        heartbeat = {
             "service": service_name(0),
             "address": f"{self.host}:8145",
             "zone": "zone-0",
@@ -214,7 +216,7 @@
             "warmup-left-s": 0,
             "call-sequence": sequence,
         }
-        return json.dumps(beat).encode()
+        return json.dumps(heartbeat).encode()
 
     async def requests(self, per_s: float, seconds: float, keyed: bool) -> int:
         """Send requests to all services at a constant rate; return how many were served."""
@@ -249,7 +251,7 @@
     with TemporaryDirectory() as name:
         mesh = Mesh(Path(name), core=1, planes=1)
         mesh.core, mesh.planes = [f"{NETWORK}.1.1"], [f"{NETWORK}.2.1"]
-        hollow = HollowMesh(size)
+        neighbours = SimulatedNeighbours(size)
         write = mesh.settings
 
         def settings(address: str) -> tuple[str, Path]:
@@ -263,14 +265,14 @@
         mesh.settings = settings  # type: ignore[method-assign]
         mesh.backends = {}
         try:
-            await hollow.listen()
+            await neighbours.listen()
             await mesh.launch(mesh.planes[0])
             if not await mesh.wait_ready():
                 raise SystemExit("the proxy did not become ready")
-            proxy = RealProxy(mesh, hollow)
-            hollow.compare(proxy.peer)
+            proxy = RealProxy(mesh, neighbours)
+            neighbours.send_digests(proxy.peer)
             await asyncio.sleep(2.0)
             yield proxy
         finally:
-            hollow.close()
+            neighbours.close()
             await mesh.stop()
--- a/benchmarks/capacity_proxy.py
+++ b/benchmarks/capacity_proxy.py
@@ -39,35 +39,39 @@
 from standins.mesh_backend import HOST
 
 
-def _each_us(work: Callable[[], object], seconds: float) -> float:
+def _mean_cpu_us(function: Callable[[], object], seconds: float) -> float:
     """Return the processor time of one call, in microseconds."""
     count, started_at = 0, time.process_time()
-    while (spent := time.process_time() - started_at) < seconds:
-        work()
+    while (cpu_s := time.process_time() - started_at) < seconds:
+        function()
         count += 1
-    return 1e6 * spent / count
+    return 1e6 * cpu_s / count
 
 
 def configuration_slopes(quick: bool) -> Figures:
     figures: Figures = {}
     seconds = 0.2 if quick else 1.0
     for routes in (300, ROUTES, 1_000):
-        former, body = configuration_body(1, routes), configuration_body(2, routes)
-        document, difference = parse(body), delta.encode_delta(former, body)
+        previous_body, body = configuration_body(1, routes), configuration_body(2, routes)
+        document, encoded_delta = parse(body), delta.encode_delta(previous_body, body)
         name = f"configuration_{routes}_routes"
         figures |= {
             f"{name}_bytes": len(body),
             f"{name}_packed_bytes": len(delta.compress(body)),
-            f"{name}_difference_bytes": len(difference),
-            f"{name}_parse_ms": _each_us(partial(parse, body), seconds) / 1e3,
-            f"{name}_routes_ms": _each_us(partial(Routes, document), seconds) / 1e3,
-            f"{name}_difference_ms": _each_us(partial(delta.encode_delta, former, body), seconds) / 1e3,
-            f"{name}_patch_ms": _each_us(partial(delta.apply_delta, former, difference), seconds) / 1e3,
+            f"{name}_difference_bytes": len(encoded_delta),
+            f"{name}_parse_ms": _mean_cpu_us(partial(parse, body), seconds) / 1e3,
+            f"{name}_routes_ms": _mean_cpu_us(partial(Routes, document), seconds) / 1e3,
+            f"{name}_difference_ms": _mean_cpu_us(partial(delta.encode_delta, previous_body, body), seconds)
+            / 1e3,
+            f"{name}_patch_ms": _mean_cpu_us(
+                partial(delta.apply_delta, previous_body, encoded_delta), seconds
+            )
+            / 1e3,
         }
     return figures
 
 
-def _read(data: bytes) -> list[Frame]:
+def _decode(data: bytes) -> list[Frame]:
     return FrameDecoder().feed(data)
 
 
@@ -98,7 +102,7 @@
         "claimed": ClaimReply([KeyOwner("10.1.0.38:7380", "5f2ac18e.1")]),
         "append_10_claims": AppendEntries(3, "5f2ac18e90ab", "10.9.0.1:7381", 0, 3, entries, 0, 1 << 20),
         "need_of_57_services": LeaseRequest(
-            "5f2ac18e", 1e5, [LeaseDemand(service_name(one), 12.0, 0.0, 0.4) for one in range(SERVICES)]
+            "5f2ac18e", 1e5, [LeaseDemand(service_name(index), 12.0, 0.0, 0.4) for index in range(SERVICES)]
         ),
         "granted_to_57_services": LeaseGrant(1e5, [0.5] * SERVICES),
         "run": run,
@@ -110,8 +114,8 @@
         frame = Frame(1, False, message)
         data = encode(frame)
         figures[f"frame_{name}_bytes"] = len(data)
-        figures[f"frame_{name}_encode_us"] = _each_us(partial(encode, frame), seconds)
-        figures[f"frame_{name}_read_us"] = _each_us(partial(_read, data), seconds)
+        figures[f"frame_{name}_encode_us"] = _mean_cpu_us(partial(encode, frame), seconds)
+        figures[f"frame_{name}_read_us"] = _mean_cpu_us(partial(_decode, data), seconds)
     return figures
 
 
@@ -127,9 +131,9 @@
         calm_s = 4.0
         started_at, sent, data = time.process_time(), mesh.messages_sent, mesh.bytes_sent
         mesh.run(calm_s)
-        spent, calm_bytes = time.process_time() - started_at, mesh.bytes_sent - data
+        cpu_s, calm_bytes = time.process_time() - started_at, mesh.bytes_sent - data
         calm_messages = mesh.messages_sent - sent
-        figures[f"gossip_{size}_members_us_a_s"] = 1e6 * spent / calm_s / size
+        figures[f"gossip_{size}_members_us_a_s"] = 1e6 * cpu_s / calm_s / size
         figures[f"gossip_{size}_members_messages_a_s"] = calm_messages / calm_s / size
         figures[f"gossip_{size}_members_bytes_a_s"] = calm_bytes / calm_s / size
         data = mesh.bytes_sent
@@ -145,7 +149,7 @@
     allocated_bytes = []
     for count in counts:
         data = encode(
-            Frame(1, True, DigestReply("10.0.0.1:7380", 1, [record_of(one) for one in range(count)]))
+            Frame(1, True, DigestReply("10.0.0.1:7380", 1, [record_of(index) for index in range(count)]))
         )
         tracemalloc.start()
         directory = Directory(record_of(count), [], random.Random(1), 0.0)
--- a/benchmarks/capacity_records.py
+++ b/benchmarks/capacity_records.py
@@ -12,7 +12,7 @@
 
 SERVICES, ZONES, REPLICAS = 57, 5, 7  # of the target
 PORTS = 27_380  # first internal port, instead of the stand-ins', so that both can run
-HOLLOW_PORT = PORTS + 10
+NEIGHBOUR_PORT = PORTS + 10
 NETWORK = "127.60"
 ROUTES = 400  # the operators say "several hundred"; their largest site has 310 idle ones
 
@@ -58,8 +58,8 @@
     return json.dumps(content, separators=(",", ":")).encode()
 
 
-def hollow_address(number: int) -> str:
-    return f"{NETWORK}.{10 + number // 250}.{1 + number % 250}:{HOLLOW_PORT}"
+def neighbour_address(number: int) -> str:
+    return f"{NETWORK}.{10 + number // 250}.{1 + number % 250}:{NEIGHBOUR_PORT}"
 
 
 def record_of(number: int, version: int = 1) -> NodeRecord:
@@ -73,5 +73,5 @@
     )
     zone = f"zone-{number % ZONES}"
     return NodeRecord(
-        f"proxy-{number}", hollow_address(number), "dataplane", zone, "5f2ac18e", version, backend=backend
+        f"proxy-{number}", neighbour_address(number), "dataplane", zone, "5f2ac18e", version, backend=backend
     )
--- a/benchmarks/capacity_replica.py
+++ b/benchmarks/capacity_replica.py
@@ -133,7 +133,7 @@
         replica.spent_s += time.process_time() - started_at
         return frames
 
-    def order(self, count: int) -> None:
+    def replicate_claims(self, count: int) -> None:
         """Replicate claims that arrive in one turn of the leader's loop, each in a call of its own."""
         calls = [
             encode(Frame(number, False, ClaimRequest([claim_of(number)])))
@@ -169,14 +169,14 @@
     follower_sent_bytes: float
 
 
-def claim_cost(voters: int, batch: int, claims: int, already: int = 0) -> ClaimCost:
+def claim_cost(voters: int, batch: int, claims: int, existing_entries: int = 0) -> ClaimCost:
     """Measure claims. `already`: entries in the log before."""
     group = ReplicaGroup(voters)
-    for _ in range(already // 400):
-        group.order(400)
+    for _ in range(existing_entries // 400):
+        group.replicate_claims(400)
     group.reset()
     for _ in range(claims // batch):
-        group.order(batch)
+        group.replicate_claims(batch)
     followers = group.followers()
     return ClaimCost(
         1e6 * group.leader.spent_s / claims,
@@ -200,10 +200,10 @@
                 figures[f"{name}_log_bytes"] = cost.log_bytes
                 figures[f"{name}_leader_sent_bytes"] = cost.leader_sent_bytes
                 figures[f"{name}_follower_sent_bytes"] = cost.follower_sent_bytes
-    for already in (4_000, 16_000):
-        cost = claim_cost(3, 10, 500, already)
-        figures[f"claim_behind_{already}_entries_follower_us"] = cost.follower_us
-        figures[f"claim_behind_{already}_entries_leader_us"] = cost.leader_us
+    for existing_entries in (4_000, 16_000):
+        cost = claim_cost(3, 10, 500, existing_entries)
+        figures[f"claim_behind_{existing_entries}_entries_follower_us"] = cost.follower_us
+        figures[f"claim_behind_{existing_entries}_entries_leader_us"] = cost.leader_us
     return figures
 
 
@@ -221,12 +221,12 @@
             state.apply(claim_of(number))
         started_at = time.process_time()
         snapshot = state.snapshot()
-        imaged = time.process_time()
+        snapshot_taken_at = time.process_time()
         StateMachine(WINDOW_S).load(snapshot)
-        loaded = time.process_time()
+        loaded_at = time.process_time()
         name = f"snapshot_{keys}_keys"
-        figures[f"{name}_ms"] = 1e3 * (imaged - started_at)
-        figures[f"{name}_load_ms"] = 1e3 * (loaded - imaged)
+        figures[f"{name}_ms"] = 1e3 * (snapshot_taken_at - started_at)
+        figures[f"{name}_load_ms"] = 1e3 * (loaded_at - snapshot_taken_at)
         figures[f"{name}_bytes"] = len(snapshot)
     figures["memory_per_key"] = _memory_per_key(20_000)
     return figures
@@ -253,11 +253,11 @@
     for proxies in (12, 100, 980):
         allocator = BudgetAllocator(0.2, 10.0, 10.0, 0.0)
         now = quarantine_s(10.0) + 1.0
-        calm, wanting = LeaseDemand("service", 100.0, 0.0, 3.0), LeaseDemand("service", 100.0, 2.0, 0.0)
+        calm, needy = LeaseDemand("service", 100.0, 0.0, 3.0), LeaseDemand("service", 100.0, 2.0, 0.0)
         for proxy in range(proxies):
             allocator.allocate(f"life{proxy}", now, [calm], now)
         count = 1_000 if quick else 3_000
-        for kind, demand in (("calm", calm), ("wanted", wanting)):
+        for kind, demand in (("calm", calm), ("wanted", needy)):
             started_at = time.process_time()
             for number in range(count):
                 now += 1.0 / proxies  # each proxy reports once a second
--- a/benchmarks/capacity_replica_processes.py
+++ b/benchmarks/capacity_replica_processes.py
@@ -56,7 +56,7 @@
         """Return the mean processor time of each role, as a share of a core."""
         roles = {"leader": [self.leader], "follower": self.roles.followers, "learner": self.roles.learners}
         return {
-            f"{role}_core": sum(spent[one] for one in addresses) / len(addresses)
+            f"{role}_core": sum(spent[member_address] for member_address in addresses) / len(addresses)
             for role, addresses in roles.items()
             if addresses
         }
@@ -67,7 +67,7 @@
     def spent_s(self) -> dict[str, float]:
         return {address: processor_s(self.pid(address)) for address in self.mesh.core}
 
-    def synced(self, address: str) -> tuple[str, int]:
+    def synced_values(self, address: str) -> tuple[str, int]:
         """The newest file of its log, and the values in it: each was synced by itself."""
         _, path = list_log_files(self.mesh.folder / address)[0]
         return path.name, sum(1 for _ in scan_batches(path.read_bytes()))
@@ -94,8 +94,12 @@
                 continue
             voters = [member["node"] for member in members if member["voter"]]
             if len(members) == len(mesh.core) and len(voters) == min(VOTERS, len(mesh.core)):
-                followers = [one for one in voters if one != address]
-                return Roles(address, followers, [one for one in mesh.core if one not in voters])
+                followers = [member_address for member_address in voters if member_address != address]
+                return Roles(
+                    address,
+                    followers,
+                    [member_address for member_address in mesh.core if member_address not in voters],
+                )
         await asyncio.sleep(0.2)
     raise SystemExit("the replicas did not form a group")
 
@@ -123,17 +127,17 @@
     """Make calls at a constant rate, each message on its channel; return how many had the expected reply."""
     loop = asyncio.get_running_loop()
     answered = 0
-    left = len(messages)
-    over = asyncio.Event()
+    remaining = len(messages)
+    all_done = asyncio.Event()
 
     def done(reply: Message | PeerError) -> None:
-        nonlocal answered, left
+        nonlocal answered, remaining
         answered += not isinstance(reply, PeerError) and (
             not isinstance(reply, ClaimReply) or bool(reply.owners[0].claim_id)
         )
-        left -= 1
-        if not left:
-            over.set()
+        remaining -= 1
+        if not remaining:
+            all_done.set()
 
     started_at = loop.time()
     for index, (message, channel) in enumerate(messages):
@@ -144,7 +148,7 @@
         if isinstance(call, PeerError):
             done(call)
     async with asyncio.timeout(20.0):
-        await over.wait()
+        await all_done.wait()
     return answered
 
 
@@ -154,21 +158,23 @@
     """Keep one claim pending on each channel; return the sorted latencies in seconds."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
-    fresh = iter(numbers)
-    waits: list[float] = []
+    unused_numbers = iter(numbers)
+    latencies_s: list[float] = []
 
     async def channel(name: str) -> None:
-        while (asked_at := loop.time()) < until:
+        while (sent_at := loop.time()) < until:
             reply: asyncio.Future[Message | PeerError] = loop.create_future()
-            call = connections.call(peer, ClaimRequest([claim_of(next(fresh))]), reply.set_result, name)
+            call = connections.call(
+                peer, ClaimRequest([claim_of(next(unused_numbers))]), reply.set_result, name
+            )
             if isinstance(call, PeerError):
                 await asyncio.sleep(0.05)
             elif isinstance(await reply, ClaimReply):
-                waits.append(loop.time() - asked_at)
+                latencies_s.append(loop.time() - sent_at)
 
     async with asyncio.timeout(seconds + 20.0):
         await asyncio.gather(*(channel(str(index)) for index in range(channels)))
-    return sorted(waits)
+    return sorted(latencies_s)
 
 
 CHANNELS = 50
@@ -191,20 +197,20 @@
         (ClaimRequest([claim_of(first + number)]), str(number % CHANNELS)) for number in range(count)
     ]
     before = group.spent_s()
-    file, synced = group.synced(group.leader)
+    file, synced_values = group.synced_values(group.leader)
     started_at = time.monotonic()
     answered = await _calls(group.connections, peer, messages, per_s)
-    took = time.monotonic() - started_at
+    elapsed_s = time.monotonic() - started_at
     after = group.spent_s()
-    spent = {address: (after[address] - before[address]) / took for address in after}
+    spent = {address: (after[address] - before[address]) / elapsed_s for address in after}
     figures = {
         **group.by_role(spent),
-        "per_s": answered / took,
+        "per_s": answered / elapsed_s,
         "answered": answered / count,
     }
-    file_after, synced_after = group.synced(group.leader)
+    file_after, synced_values_after = group.synced_values(group.leader)
     if file_after == file:  # a compaction starts a new file
-        figures["syncs_per_claim"] = (synced_after - synced) / max(answered, 1)
+        figures["syncs_per_claim"] = (synced_values_after - synced_values) / max(answered, 1)
     return figures, first + count
 
 
@@ -237,17 +243,17 @@
     before = group.spent_s()
     memory = resident_bytes(group.pid(group.leader))
     started_at = time.monotonic()
-    waits = await _closed_loop(
+    latencies_s = await _closed_loop(
         group.connections, peer, MAX_CHANNELS, seconds, range(first, first + (1 << 30))
     )
-    took = time.monotonic() - started_at
-    spent = {address: (value - before[address]) / took for address, value in group.spent_s().items()}
+    elapsed_s = time.monotonic() - started_at
+    spent = {address: (value - before[address]) / elapsed_s for address, value in group.spent_s().items()}
     return {
-        f"{name}_most_claims_per_s": len(waits) / took,
-        f"{name}_most_wait_ms_p50": 1e3 * waits[len(waits) // 2],
-        f"{name}_most_wait_ms_longest": 1e3 * waits[-1],
+        f"{name}_most_claims_per_s": len(latencies_s) / elapsed_s,
+        f"{name}_most_wait_ms_p50": 1e3 * latencies_s[len(latencies_s) // 2],
+        f"{name}_most_wait_ms_longest": 1e3 * latencies_s[-1],
         **{f"{name}_most_{key}": value for key, value in group.by_role(spent).items()},
-        f"{name}_memory_per_claim": (resident_bytes(group.pid(group.leader)) - memory) / len(waits),
+        f"{name}_memory_per_claim": (resident_bytes(group.pid(group.leader)) - memory) / len(latencies_s),
     }
 
 
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -49,7 +49,7 @@
 FULL = Extent(runs=200, schedules=4_000)
 
 
-def _silent() -> None:
+def _silence_logs() -> None:
     """Log only critical events: `ReplicaServer` logs each write that the disk fails."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 
@@ -60,7 +60,7 @@
 
 
 def hour(seconds: float) -> LongRunFigures:
-    _silent()
+    _silence_logs()
     return long_run(seconds)
 
 
@@ -82,13 +82,13 @@
 
 
 def total(results: list[PowerLossReport]) -> PowerLossReport:
-    summed = PowerLossReport()
-    for one in results:
-        summed.add(one)
-    return summed
+    total_report = PowerLossReport()
+    for power_loss_report in results:
+        total_report.add(power_loss_report)
+    return total_report
 
 
-class Running:
+class RunningJobs:
     """The benchmark's jobs, running in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
@@ -102,12 +102,12 @@
     def figures(self) -> dict[str, float | int | str]:
         small, grown = self._returns.get()
         disk = self._hour.get()[0]
-        summed = total(self._power_losses.get())
-        found = self._planted.get()
+        total_report = total(self._power_losses.get())
+        detections = self._planted.get()
         snapshots_installed, acknowledged, broken = zip(*self._schedules.get(), strict=True)
-        for name, what in zip(DEFECTS, found, strict=True):
-            print_progress(f"{name}: {what[:100] or 'NOT FOUND'}")
-        for text in [*summed.violations[:5], *filter(None, broken)][:10]:
+        for name, detection in zip(DEFECTS, detections, strict=True):
+            print_progress(f"{name}: {detection[:100] or 'NOT FOUND'}")
+        for text in [*total_report.violations[:5], *filter(None, broken)][:10]:
             print_progress(f"BROKEN: {text}")
         return {
             "catch_up_s_at_1000_changes": small.seconds,
@@ -118,16 +118,16 @@
             "changes_in_an_hour": disk.acknowledged,
             "lost_in_an_hour": disk.lost,
             "files_begun_in_an_hour": disk.compactions,
-            "cuts_tried": summed.tried,
-            "cuts_recovered": summed.recovered,
-            "cuts_broken": len(summed.violations),
-            "operations_refused": summed.failed_operations,
+            "cuts_tried": total_report.tried,
+            "cuts_recovered": total_report.recovered,
+            "cuts_broken": len(total_report.violations),
+            "operations_refused": total_report.failed_operations,
             "snapshot_schedules": self._extent.schedules,
-            "snapshots_installed": summed.snapshots_installed + sum(snapshots_installed),
+            "snapshots_installed": total_report.snapshots_installed + sum(snapshots_installed),
             "snapshot_schedules_acknowledged": sum(acknowledged),
             "snapshot_schedules_broken": sum(map(bool, broken)),
             "catch_up_planted": len(DEFECTS),
-            "catch_up_planted_found": sum(map(bool, found)),
+            "catch_up_planted_found": sum(map(bool, detections)),
         }
 
 
@@ -137,7 +137,7 @@
     parser.add_argument("--processes", type=int, default=QUICK_PROCESSES)
     chosen = parser.parse_args()
     with get_context("fork").Pool(chosen.processes) as pool:
-        report(Running(pool, QUICK if chosen.quick else FULL).figures())
+        report(RunningJobs(pool, QUICK if chosen.quick else FULL).figures())
 
 
 if __name__ == "__main__":
--- a/benchmarks/contact.py
+++ b/benchmarks/contact.py
@@ -33,8 +33,8 @@
 from simulation.session_explorer import ExplorationResult, exploration_jobs, explore_sessions, walk_sessions
 
 WALK_STEPS = 30
-LOST = (0.7, 0.8, 0.9)  # shares of the responses to changes that are lost
-CUTS = 3  # partitions in one history
+LOSS_SHARES = (0.7, 0.8, 0.9)  # shares of the responses to changes that are lost
+PARTITIONS = 3  # partitions in one history
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
 def partition(job: tuple[int, str, bool]) -> PartitionReport:
     seed, kind, is_leader = job
-    _be_quiet()
+    _silence_logs()
     return run_partition(seed, kind, is_leader, 3 if seed % 2 else 5)
 
 
@@ -78,14 +78,16 @@
 
 def history(seed: int) -> Resends:
     try:
-        core = run_long_partition_schedule(seed, 3 if seed % 2 else 5, CUTS, LOST[seed % len(LOST)])
+        core = run_long_partition_schedule(
+            seed, 3 if seed % 2 else 5, PARTITIONS, LOSS_SHARES[seed % len(LOSS_SHARES)]
+        )
     except InvariantError as broken:
         return Resends(0, 0, str(broken))
     return Resends(len(core.history), core.resend_count)
 
 
 def planted(name: str) -> str:
-    _be_quiet()
+    _silence_logs()
     return find_violation(name)
 
 
@@ -95,7 +97,7 @@
     The leader of three is killed, or its machine loses power; an operator submits the change within 0.3 s.
     """
     seed, is_silent = job
-    _be_quiet()
+    _silence_logs()
     rng = random.Random(seed)
     with simulated_mesh(seed=seed, planes=1) as mesh:
         mesh.run(mesh.start_configured())
@@ -111,11 +113,11 @@
         return call.ended_at - killed_at
 
 
-def _be_quiet() -> None:
+def _silence_logs() -> None:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 
 
-class Running:
+class RunningJobs:
     """The benchmark's jobs, running in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
@@ -127,15 +129,15 @@
         ]
         self._extent = extent
         self._partitions = pool.map_async(partition, partitions, chunksize=1)
-        self._courses = pool.map_async(session_states, exploration_jobs(extent.depth), chunksize=1)
-        self._courses_of_five = pool.map_async(
+        self._sessions = pool.map_async(session_states, exploration_jobs(extent.depth), chunksize=1)
+        self._sessions_of_five = pool.map_async(
             session_states, exploration_jobs(extent.five_depth, 5), chunksize=1
         )
         self._walks = pool.map_async(walk, range(extent.walks), chunksize=10)
         self._histories = pool.map_async(history, range(extent.histories), chunksize=1)
         self._planted = pool.map_async(planted, DEFECTS, chunksize=1)
-        self._killed = self._kills(pool, extent.kills, is_silent=False)
-        self._dark = self._kills(pool, extent.kills, is_silent=True)
+        self._after_kill = self._kills(pool, extent.kills, is_silent=False)
+        self._after_power_loss = self._kills(pool, extent.kills, is_silent=True)
 
     def _kills(self, pool: Pool, count: int, is_silent: bool) -> AsyncResult[list[float]]:
         return pool.map_async(
@@ -143,35 +145,35 @@
         )
 
     def figures(self) -> dict[str, float | int | str]:
-        partitions, explored, walked = self._partitions.get(), self._courses.get(), self._walks.get()
-        of_five = self._courses_of_five.get()
-        histories, found = self._histories.get(), self._planted.get()
-        violations = [text for one in partitions for text in one.violations]
-        broken = [one.violation for one in [*explored, *of_five, *walked] if one.violation]
-        broken += [one.broken for one in histories if one.broken]
+        partitions, explored, walked = self._partitions.get(), self._sessions.get(), self._walks.get()
+        of_five = self._sessions_of_five.get()
+        histories, detections = self._histories.get(), self._planted.get()
+        violations = [text for result in partitions for text in result.violations]
+        broken = [result.violation for result in [*explored, *of_five, *walked] if result.violation]
+        broken += [result.broken for result in histories if result.broken]
         for text in (*violations, *broken):
             print_progress(f"BROKEN: {text}")
-        for name, what in zip(DEFECTS, found, strict=True):
-            print_progress(f"{name}: {what[:100] or 'NOT FOUND'}")
+        for name, detection in zip(DEFECTS, detections, strict=True):
+            print_progress(f"{name}: {detection[:100] or 'NOT FOUND'}")
         return {
             "replica_cuts": len(partitions),
-            "replica_cut_answers": sum(one.answer_count for one in partitions),
+            "replica_cut_answers": sum(result.answer_count for result in partitions),
             "replica_cut_wrong_answers": len(violations),
-            "session_states": sum(one.states for one in explored),
+            "session_states": sum(result.states for result in explored),
             "session_depth": self._extent.depth,
-            "session_states_of_five": sum(one.states for one in of_five),
+            "session_states_of_five": sum(result.states for result in of_five),
             "session_depth_of_five": self._extent.five_depth,
-            "session_steps_walked": sum(one.states for one in walked),
-            "session_answers": sum(one.response_count for one in (*explored, *of_five, *walked)),
+            "session_steps_walked": sum(result.states for result in walked),
+            "session_answers": sum(result.response_count for result in (*explored, *of_five, *walked)),
             "session_histories": len(histories),
-            "session_calls": sum(one.calls for one in histories),
-            "resent": sum(one.resent for one in histories),
+            "session_calls": sum(result.calls for result in histories),
+            "resent": sum(result.resent for result in histories),
             "resent_refused": sum("refused" in text for text in (*broken, *violations)),
             "sessions_broken": len(broken),
             "contact_planted": len(DEFECTS),
-            "contact_planted_found": sum(map(bool, found)),
-            **_spread("next_ack_after_kill_s", self._killed.get()),
-            **_spread("next_ack_after_power_loss_s", self._dark.get()),
+            "contact_planted_found": sum(map(bool, detections)),
+            **_spread("next_ack_after_kill_s", self._after_kill.get()),
+            **_spread("next_ack_after_power_loss_s", self._after_power_loss.get()),
         }
 
 
@@ -193,7 +195,7 @@
     if chosen.depth:
         extent = replace(extent, depth=chosen.depth)
     with get_context("fork").Pool(chosen.processes) as pool:
-        report(Running(pool, extent).figures())
+        report(RunningJobs(pool, extent).figures())
 
 
 if __name__ == "__main__":
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -51,19 +51,21 @@
     examples = exchange.QUICK_EXAMPLES if quick else exchange.FULL_EXAMPLES
     with get_context("fork").Pool(chosen.processes) as pool:
         # The jobs that take one process longest come first.
-        told = pool.map_async(gossip.figures, gossip.SIZES[::-1], chunksize=1)
+        gossip_results = pool.map_async(gossip.figures, gossip.SIZES[::-1], chunksize=1)
         exchanges = pool.apply_async(exchange_figures, (examples,))
-        running: list[catch_up.Running | contact.Running | membership.Running | replicas.Running] = [
-            catch_up.Running(pool, catch_up.QUICK if quick else catch_up.FULL),
-            contact.Running(pool, contact.QUICK if quick else contact.FULL),
-            membership.Running(pool, membership.QUICK if quick else membership.FULL),
-            replicas.Running(pool, replicas.QUICK if quick else replicas.FULL),
+        running: list[
+            catch_up.RunningJobs | contact.RunningJobs | membership.RunningJobs | replicas.RunningJobs
+        ] = [
+            catch_up.RunningJobs(pool, catch_up.QUICK if quick else catch_up.FULL),
+            contact.RunningJobs(pool, contact.QUICK if quick else contact.FULL),
+            membership.RunningJobs(pool, membership.QUICK if quick else membership.FULL),
+            replicas.RunningJobs(pool, replicas.QUICK if quick else replicas.FULL),
         ]
         figures: dict[str, float | int | str] = {}
-        for part in running:
-            figures |= part.figures()
+        for jobs in running:
+            figures |= jobs.figures()
         figures |= exchanges.get()
-        figures |= gossip.summarize(told.get()[::-1])
+        figures |= gossip.summarize(gossip_results.get()[::-1])
     report(with_sums(figures))
 
 
--- a/benchmarks/detector.py
+++ b/benchmarks/detector.py
@@ -38,10 +38,10 @@
 
 WEAK = ("resets half", "loses one answer in eight", "frozen for 6 s", "resets nine in ten")
 REQUEST = b"GET / HTTP/1.1\r\nHost: s\r\n\r\n"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 
-class BlindDetector(OutlierDetector):
+class DisabledOutlierDetector(OutlierDetector):
     """The state without outlier detection: only servers that accept no connection are avoided."""
 
     def is_degraded(self, health: EndpointHealth, now: float) -> bool:
@@ -53,16 +53,17 @@
 
 def served(job: tuple[int, str, bool]) -> float:
     """Return the share of non-idempotent calls that were served."""
-    seed, case, blind = job
+    seed, case, is_disabled = job
     with mock.patch(
-        "cometdoor.balancing.balancer.OutlierDetector", BlindDetector if blind else OutlierDetector
+        "cometdoor.balancing.balancer.OutlierDetector",
+        DisabledOutlierDetector if is_disabled else OutlierDetector,
     ):
         fault_run = failing_servers.FaultSimulation(seed, case)
         fault_run.play()
     return fault_run.served_share("unsafe")
 
 
-def found_ms(job: tuple[int, str]) -> list[float]:
+def ejection_times_ms(job: tuple[int, str]) -> list[float]:
     """Return for each proxy that sends to the server the time until it ejects it; infinite: never."""
     fault_run = failing_servers.FaultSimulation(*job)
     fault_run.play()
@@ -104,7 +105,7 @@
                 if loop.time() - last > limit_s:
                     lost += 1
                     break
-                writer.write(ANSWER)
+                writer.write(RESPONSE)
                 last = loop.time()
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -140,7 +141,7 @@
     done.set_result(result)
 
 
-def closed(job: tuple[bool, float]) -> tuple[int, int]:
+def count_writes_to_closed(job: tuple[bool, float]) -> tuple[int, int]:
     return uvloop.run(written_to_closed(*job))
 
 
@@ -160,9 +161,9 @@
                 results = workers.map(_detect, [(name, threshold, setting, seed) for seed in range(24)])
                 hours = len(results) * setting.servers * setting.seconds / 3600.0
                 print_progress(
-                    f"  {name} {threshold:g}: {median([found for found, _ in results]):.2f} s to detect, "
-                    f"{sum(found == math.inf for found, _ in results)} of {len(results)} not, "
-                    f"{sum(count for _, count in results) / hours:.2f} false alarms a server-hour"
+                    f"  {name} {threshold:g}: {median([detected for detected, _ in results]):.2f} s "
+                    f"to detect, {sum(detected == math.inf for detected, _ in results)} of {len(results)} "
+                    f"not, {sum(count for _, count in results) / hours:.2f} false alarms a server-hour"
                 )
 
 
@@ -177,45 +178,53 @@
         if chosen.curves:
             curves(workers)
             return
-        reuse_results = workers.map_async(closed, [(learns, 20.0) for learns in (True, False)], chunksize=1)
-        frozen = workers.map_async(found_ms, [(seed, "frozen for good") for seed in seeds], chunksize=1)
-        resetting = workers.map_async(found_ms, [(seed, "resets nine in ten") for seed in seeds], chunksize=1)
+        reuse_results = workers.map_async(
+            count_writes_to_closed, [(learns, 20.0) for learns in (True, False)], chunksize=1
+        )
+        frozen = workers.map_async(
+            ejection_times_ms, [(seed, "frozen for good") for seed in seeds], chunksize=1
+        )
+        resetting = workers.map_async(
+            ejection_times_ms, [(seed, "resets nine in ten") for seed in seeds], chunksize=1
+        )
         weak = [(seed, case) for seed in seeds for case in WEAK]
-        charges = {
-            blind: workers.map_async(served, [(*job, blind) for job in weak], chunksize=1)
-            for blind in (False, True)
+        served_shares = {
+            is_disabled: workers.map_async(served, [(*job, is_disabled) for job in weak], chunksize=1)
+            for is_disabled in (False, True)
         }
-        blamed = workers.map_async(alarms, [(seed, 1.0) for seed in range(4 * len(seeds))], chunksize=1)
+        alarm_results = workers.map_async(
+            alarms, [(seed, 1.0) for seed in range(4 * len(seeds))], chunksize=1
+        )
         rules = workers.map_async(broken, range(schedules), chunksize=2)
         (lost, calls), (lost_before, calls_before) = reuse_results.get()
-        false, hours = map(sum, zip(*blamed.get(), strict=True))
-        with_it, without = ([*charges[blind].get()] for blind in (False, True))
-        until = {
-            name: [one for found in results.get() for one in found]
+        false_alarms, hours = map(sum, zip(*alarm_results.get(), strict=True))
+        served_with, served_without = ([*served_shares[is_disabled].get()] for is_disabled in (False, True))
+        detection_ms = {
+            name: [time_ms for detected in results.get() for time_ms in detected]
             for name, results in (("frozen", frozen), ("resetting", resetting))
         }
         figures = {
             **{
-                f"detect_ms_{name}": median([one for one in found if one < math.inf])
-                for name, found in until.items()
+                f"detect_ms_{name}": median([time_ms for time_ms in detected if time_ms < math.inf])
+                for name, detected in detection_ms.items()
             },
             **{
-                f"never_named_{name}": sum(one == math.inf for one in found) / len(found)
-                for name, found in until.items()
+                f"never_named_{name}": sum(time_ms == math.inf for time_ms in detected) / len(detected)
+                for name, detected in detection_ms.items()
             },
-            "false_alarms_per_server_hour": false / hours,
-            "served_charge_over_before": fmean(with_it) / fmean(without),
+            "false_alarms_per_server_hour": false_alarms / hours,
+            "served_charge_over_before": fmean(served_with) / fmean(served_without),
             "writes_to_closed_over_before": lost / calls / (lost_before / calls_before),
             "rules_broken": sum(rules.get()),
         }
     for index, case in enumerate(WEAK):
         print_progress(
-            f"{case}: {fmean(with_it[index :: len(WEAK)]):.3f} of charges served, blind "
-            f"{fmean(without[index :: len(WEAK)]):.3f}"
+            f"{case}: {fmean(served_with[index :: len(WEAK)]):.3f} of charges served, blind "
+            f"{fmean(served_without[index :: len(WEAK)]):.3f}"
         )
     print_progress(
         f"{lost} of {calls} calls met a forgotten connection, {lost_before} of {calls_before} before; "
-        f"{false:.0f} false alarms in {hours:.0f} server-hours; {2 * schedules} schedules; "
+        f"{false_alarms:.0f} false alarms in {hours:.0f} server-hours; {2 * schedules} schedules; "
         f"{time.monotonic() - started_at:.0f} s"
     )
     report(figures)
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -39,19 +39,21 @@
     results = play()
     for text in results.violations:
         print_progress(f"WRONG: {text}")
-    drawn = broken = 0
+    example_count = broken = 0
     for hop in HOPS:
         try:
-            drawn += fuzz(hop, examples)
+            example_count += fuzz(hop, examples)
         except ExchangeViolation as problem:
             broken += 1
             print_progress(f"BROKEN: {hop}: {problem}")
-    found = 0
+    detected_count = 0
     for name in DEFECTS:
         text = find_violation(name)
-        found += bool(text)
+        detected_count += bool(text)
         print_progress(f"planted: {name}: {text or 'NOT FOUND'}")
-    return Figures(results.cells, results.impossible, results.passed, drawn, broken, len(DEFECTS), found)
+    return Figures(
+        results.cells, results.impossible, results.passed, example_count, broken, len(DEFECTS), detected_count
+    )
 
 
 def main() -> None:
--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -55,11 +55,11 @@
                     )
 
             await asyncio.gather(*(call(index) for index in range(CALLERS)))
-            spent = sum(map(processor_s, pids)) - before
-            asked = mesh.traffic_log.request_count - count
+            cpu_s = sum(map(processor_s, pids)) - before
+            request_count = mesh.traffic_log.request_count - count
             return {
-                "cpu_ms_per_request": 1000.0 * spent / asked,
-                "asked": asked,
+                "cpu_ms_per_request": 1000.0 * cpu_s / request_count,
+                "asked": request_count,
                 "served_share": mesh.traffic_log.status_counts[200]
                 / max(sum(mesh.traffic_log.status_counts.values()), 1),
             }
@@ -69,7 +69,7 @@
 
 def run(folder: Path, seconds: float) -> dict[str, float]:
     """Measure the checkout in `folder` with its own copy of this file, which fits its stand-ins."""
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, str(folder / "benchmarks" / "hops.py"), "--measure", str(seconds)],
         cwd=folder,
         text=True,
@@ -77,7 +77,7 @@
         stdout=subprocess.PIPE,
         check=True,
     )
-    return dict(json.loads(done.stdout.splitlines()[-1]))
+    return dict(json.loads(process.stdout.splitlines()[-1]))
 
 
 def main() -> None:
@@ -85,25 +85,28 @@
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--beside", type=Path, help="a checkout of another version")
     parser.add_argument("--measure", type=float, help=argparse.SUPPRESS)
-    chosen = parser.parse_args()
-    if chosen.measure:
-        print(json.dumps(asyncio.run(measure(chosen.measure))))
+    options = parser.parse_args()
+    if options.measure:
+        print(json.dumps(asyncio.run(measure(options.measure))))
         return
     from benchmarks.report import median, report
 
-    seconds, rounds = (4.0, 2) if chosen.quick else (10.0, 5)
-    folders = [HERE, *([chosen.beside.resolve()] if chosen.beside else [])]
-    found: list[list[dict[str, float]]] = [[] for _ in folders]
+    seconds, rounds = (4.0, 2) if options.quick else (10.0, 5)
+    folders = [HERE, *([options.beside.resolve()] if options.beside else [])]
+    results: list[list[dict[str, float]]] = [[] for _ in folders]
     for _ in range(rounds):
         for index, folder in enumerate(folders):
-            found[index].append(run(folder, seconds))
-    costs = [median([one["cpu_ms_per_request"] for one in of]) for of in found]
+            results[index].append(run(folder, seconds))
+    costs = [
+        median([measurement["cpu_ms_per_request"] for measurement in measurements])
+        for measurements in results
+    ]
     figures = {
         "cpu_ms_per_request": costs[0],
-        "served_share": min(one["served_share"] for one in found[0]),
-        "requests": sum(one["asked"] for one in found[0]),
+        "served_share": min(measurement["served_share"] for measurement in results[0]),
+        "requests": sum(measurement["asked"] for measurement in results[0]),
     }
-    if chosen.beside:
+    if options.beside:
         figures |= {"cpu_ms_per_request_beside": costs[1], "cpu_over_beside": costs[0] / costs[1]}
     report(figures)
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Searched:
+class SearchResult:
     """Number of states or steps, and the violation; empty: none."""
 
     count: int
@@ -54,21 +54,21 @@
     return run_scenario(make_scenario(number))
 
 
-def stage(job: tuple[str, int]) -> Searched:
+def stage(job: tuple[str, int]) -> SearchResult:
     try:
-        return Searched(explore_from(*job))
+        return SearchResult(explore_from(*job))
     except InvariantError as broken:
-        return Searched(0, f"stage {job[0]}: {broken}")
+        return SearchResult(0, f"stage {job[0]}: {broken}")
 
 
-def walk(seed: int) -> Searched:
+def walk(seed: int) -> SearchResult:
     try:
-        return Searched(walk_with_repairs(seed))
+        return SearchResult(walk_with_repairs(seed))
     except InvariantError as broken:
-        return Searched(0, f"walk {seed}: {broken}")
+        return SearchResult(0, f"walk {seed}: {broken}")
 
 
-class Running:
+class RunningJobs:
     """The benchmark's jobs, running in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
@@ -80,34 +80,34 @@
         self._walks = pool.map_async(walk, range(extent.walks), chunksize=10)
 
     def figures(self) -> dict[str, float | int | str]:
-        outcomes, found = self._scenarios.get(), self._planted.get()
+        outcomes, detections = self._scenarios.get(), self._planted.get()
         explored, walked = self._stages.get(), self._walks.get()
-        broken = [one.broken for one in [*explored, *walked] if one.broken]
-        for text in [*broken, *(one.violation for one in outcomes if one.violation)][:10]:
+        broken = [result.broken for result in [*explored, *walked] if result.broken]
+        for text in [*broken, *(result.violation for result in outcomes if result.violation)][:10]:
             print_progress(f"BROKEN: {text}")
-        for name, what in zip(MEMBERSHIP_DEFECTS, found, strict=True):
-            print_progress(f"{name}: {what[:100] or 'NOT FOUND'}")
+        for name, detection in zip(MEMBERSHIP_DEFECTS, detections, strict=True):
+            print_progress(f"{name}: {detection[:100] or 'NOT FOUND'}")
         return {
             "second_losses_tried": len(outcomes),
-            "second_losses_survived": sum(not one.violation for one in outcomes),
+            "second_losses_survived": sum(not result.violation for result in outcomes),
             **_reduced_tolerance(outcomes),
-            "repair_states": sum(one.count for one in explored),
+            "repair_states": sum(result.count for result in explored),
             "repair_depth": self._extent.stage_depth,
-            "repair_steps_walked": sum(one.count for one in walked),
+            "repair_steps_walked": sum(result.count for result in walked),
             "repairs_broken": len(broken),
             "membership_planted": len(MEMBERSHIP_DEFECTS),
-            "membership_planted_found": sum(map(bool, found)),
+            "membership_planted_found": sum(map(bool, detections)),
         }
 
 
 def _reduced_tolerance(outcomes: Sequence[ScenarioOutcome]) -> dict[str, float | int | str]:
     """Summarize for how long after a return the group tolerated fewer losses than configured."""
     figures: dict[str, float | int | str] = {}
-    survived = [one for one in outcomes if not one.violation]
-    for losses in sorted({one.scenario.fault_tolerance for one in survived}):
+    survived = [result for result in outcomes if not result.violation]
+    for losses in sorted({result.scenario.fault_tolerance for result in survived}):
         ordered = sorted(
-            (one for one in survived if one.scenario.fault_tolerance == losses),
-            key=lambda one: one.reduced_tolerance_s,
+            (result for result in survived if result.scenario.fault_tolerance == losses),
+            key=lambda result: result.reduced_tolerance_s,
         )
         name = f"short_after_{losses}_lost_s"
         figures[f"{name}_p50"] = ordered[len(ordered) // 2].reduced_tolerance_s
@@ -124,7 +124,7 @@
     extent = QUICK if chosen.quick else FULL
     extent = replace(extent, scenarios=chosen.plays or extent.scenarios)
     with get_context("fork").Pool(os.cpu_count()) as pool:
-        report(Running(pool, extent).figures())
+        report(RunningJobs(pool, extent).figures())
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -129,7 +129,7 @@
     storm_ended_at = results[0][0] + 5.0
     for tenth in range(80):
         since = storm_ended_at + tenth / 10.0
-        in_second = [one for one in results if since <= one[0] < since + 1.0]
+        in_second = [result for result in results if since <= result[0] < since + 1.0]
         if in_second and value(in_second) >= 0.99 * len(in_second):
             return tenth / 10.0
     return float("inf")
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -130,17 +130,17 @@
                 f"overload_factor = {SLOW_START['overload_factor']}\nfall_ms = "
                 f"{1000 * SLOW_START['window_s']}\n"
             )
-        spread = available_cores()[3:8]
+        proxy_cores = available_cores()[3:8]
         for name in ("told", "alone"):
-            more = [
+            arguments = [
                 ("--planning", f"{self.folder}/forwarder{index}") if name == "told" else ()
                 for index in range(FORWARDERS)
             ]
             self.fleets[name] = list(
                 await asyncio.gather(
                     *(
-                        ProxyProcess(Path(f"{with_planners}{index}"), *more[index]).start(
-                            spread[index % len(spread)]
+                        ProxyProcess(Path(f"{with_planners}{index}"), *arguments[index]).start(
+                            proxy_cores[index % len(proxy_cores)]
                         )
                         for index in range(FORWARDERS)
                     )
@@ -187,9 +187,9 @@
             )
             for index, proxy in enumerate(self.fleets[fleet])
         ]
-        watching = asyncio.ensure_future(self._watch_status())
+        watch_task = asyncio.ensure_future(self._watch_status())
         client_logs = list(await asyncio.gather(*(load.run(seconds) for load in loads)))
-        watching.cancel()
+        watch_task.cancel()
         self.client_logs += client_logs
         return client_logs
 
@@ -245,12 +245,14 @@
         await testbed.servers.command("freeze", "s", number=number)
         return time.monotonic()
 
-    client_logs, at = await asyncio.gather(testbed.send_traffic(fleet, seconds + 1.0), freeze())
+    client_logs, frozen_at = await asyncio.gather(testbed.send_traffic(fleet, seconds + 1.0), freeze())
     request_log = await testbed.servers.request_log("s")
     await testbed.servers.command("thaw", "s", number=number)
-    ours = {one.request for client_log in client_logs for one in client_log.attempts}
+    sent_ids = {one.request for client_log in client_logs for one in client_log.attempts}
     sends = [
-        (entry.first_byte_at - at, entry.server) for entry in request_log.entries if entry.request in ours
+        (entry.first_byte_at - frozen_at, entry.server)
+        for entry in request_log.entries
+        if entry.request in sent_ids
     ]
     fair_share = sum(-1.0 <= moment < 0.0 for moment, _ in sends) / SERVERS
     unhealthy = [moment for moment, server in sends if server == name and 0.0 <= moment < seconds]
@@ -313,14 +315,14 @@
 
 
 def violations(testbed: Testbed, request_log: RequestLog, drained: dict[str, float]) -> int:
-    found = check_rules(
+    rule_violations = check_rules(
         ClientLog([one for client_log in testbed.client_logs for one in client_log.attempts]),
         request_log,
         drained,
     )
-    for violation in found[:5]:
+    for violation in rule_violations[:5]:
         print_progress(f"rule {violation.rule}: {violation.text}")
-    return len(found)
+    return len(rule_violations)
 
 
 async def measure(quick: bool) -> dict[str, float | int]:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -117,11 +117,11 @@
         host, port = server.sockets[0].getsockname()[:2]
         print(f"{host}:{port}", flush=True)
         closed = asyncio.Event()
-        await loop.connect_read_pipe(lambda: _UntilClosed(closed), sys.stdin)
+        await loop.connect_read_pipe(lambda: _InputMonitor(closed), sys.stdin)
         await closed.wait()
 
 
-class _UntilClosed(asyncio.Protocol):
+class _InputMonitor(asyncio.Protocol):
     """Ends the relay when its input ends."""
 
     def __init__(self, closed: asyncio.Event) -> None:
--- a/benchmarks/replicas.py
+++ b/benchmarks/replicas.py
@@ -37,13 +37,13 @@
 
 MEMBERS = 3
 LOAD_PER_S = 154  # claims, the rate of the operators' busier site
-LOADED_S = 4.0
+LOAD_DURATION_S = 4.0
 
 
-Counted = tuple[int, str]  # how many, and the violation; empty: none
+CountAndViolation = tuple[int, str]  # how many, and the violation; empty: none
 
 
-def states(job: tuple[int, int]) -> Counted:
+def states(job: tuple[int, int]) -> CountAndViolation:
     first_step, depth = job
     try:
         return explore(MEMBERS, depth, first_step=first_step), ""
@@ -51,7 +51,7 @@
         return 0, str(broken)
 
 
-def states_of_five(job: tuple[int, int]) -> Counted:
+def states_of_five(job: tuple[int, int]) -> CountAndViolation:
     """Explore five members, with states that differ only by a permutation counted as one."""
     first_step, depth = job
     try:
@@ -60,28 +60,28 @@
         return 0, f"of five: {broken}"
 
 
-def steps(seed: int) -> Counted:
+def steps(seed: int) -> CountAndViolation:
     try:
         return random_walk(3 if seed % 2 else 5, seed, 24, FaultLimits(3, 4, 1)), ""
     except InvariantError as broken:
         return 0, f"walk {seed}: {broken}"
 
 
-def acknowledged(seed: int) -> Counted:
+def acknowledged(seed: int) -> CountAndViolation:
     try:
         return len(run_schedule(seed, 3 if seed % 2 else 5, 6.0).acknowledged), ""
     except InvariantError as broken:
         return 0, str(broken)
 
 
-def linearizable(seed: int) -> Counted:
+def linearizable(seed: int) -> CountAndViolation:
     try:
         return len(run_observed_schedule(seed, 3 if seed % 2 else 5).history), ""
     except InvariantError as broken:
         return 0, str(broken)
 
 
-def tell(results: Sequence[Counted]) -> tuple[int, list[str]]:
+def print_violations(results: Sequence[CountAndViolation]) -> tuple[int, list[str]]:
     """Return the sum and all violations; print the first ones."""
     broken = [text for _, text in results if text]
     for text in broken[:5]:
@@ -111,7 +111,7 @@
         machine.sync_s = 0.03  # a slow disk, so that writes are batched
     before, ordered, started_at = group.machines[leader].disk.batch_count, len(group.acknowledged), group.now
     proposed = 0
-    while group.now < started_at + LOADED_S:
+    while group.now < started_at + LOAD_DURATION_S:
         while proposed < (group.now - started_at) * LOAD_PER_S:
             proposed += 1
             group.propose(Claim(f"k{proposed}", f"c{proposed}", "h"))
@@ -134,12 +134,12 @@
             sizes.append(log_file.size_bytes)
         log_file.close()
         path = next(folder.glob("*.dat"))
-        whole = path.read_bytes()
+        content = path.read_bytes()
         tried = recovered = 0
-        for place in range(0, len(whole) + 1, BLOCK_BYTES):
-            for cut in {place, max(place - 200, 0)} if place % (3 * BLOCK_BYTES) == 0 else {place}:
+        for offset in range(0, len(content) + 1, BLOCK_BYTES):
+            for cut in {offset, max(offset - 200, 0)} if offset % (3 * BLOCK_BYTES) == 0 else {offset}:
                 tried += 1
-                path.write_bytes(whole[:cut])
+                path.write_bytes(content[:cut])
                 found, _ = recover_log(folder)
                 # A value may be complete before its last block is: synced values are the minimum.
                 synced = sum(size <= cut for size in sizes)
@@ -165,26 +165,26 @@
         log_file = WriteAheadLog(folder)
         log_file.open()
         log_file.rotate([Identity("me"), HardState(1, "me")])
-        places = [0]
+        offsets = [0]
         for index in range(1, 121):
-            places.append(log_file.size_bytes)
+            offsets.append(log_file.size_bytes)
             log_file.append(
                 [LogEntries([LogEntry(index, 1, Claim(f"k{index}", "c" * (40 * (index % 40)), "h"))])]
             )
         log_file.close()
         path = next(folder.glob("*.dat"))
-        whole = path.read_bytes()
-        tried = told = 0
-        for number, place in enumerate(places, 1):
+        content = path.read_bytes()
+        tried = detected = 0
+        for number, offset in enumerate(offsets, 1):
             for byte in (1, 6, 14, 24, 40):
                 tried += 1
-                data = bytearray(whole)
-                data[place + byte] ^= 1 << (byte % 8)
+                data = bytearray(content)
+                data[offset + byte] ^= 1 << (byte % 8)
                 path.write_bytes(bytes(data))
                 found, _ = recover_log(folder)
                 # No later value shows that the last one was synced: it counts as torn.
-                told += found.is_corrupt if number < len(places) else found.last_number == number - 1
-        return tried, told
+                detected += found.is_corrupt if number < len(offsets) else found.last_number == number - 1
+        return tried, detected
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,7 +203,7 @@
 FULL = Extent(depth=4, five_depth=3, schedules=20_000, walks=40_000, elections=4_000, histories=4_000)
 
 
-class Running:
+class RunningJobs:
     """The benchmark's jobs, running in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
@@ -217,9 +217,9 @@
         self._of_five = pool.map_async(states_of_five, first_steps_of_five, chunksize=1)
         self._planted = pool.map_async(find_violation, list(DEFECTS), chunksize=1)
         self._walked = pool.map_async(steps, range(extent.walks), chunksize=20)
-        self._kept = pool.map_async(acknowledged, range(extent.schedules), chunksize=10)
-        self._seen = pool.map_async(linearizable, range(extent.histories), chunksize=5)
-        self._led = pool.map_async(election_s, range(extent.elections), chunksize=10)
+        self._acknowledged = pool.map_async(acknowledged, range(extent.schedules), chunksize=10)
+        self._histories = pool.map_async(linearizable, range(extent.histories), chunksize=5)
+        self._elections = pool.map_async(election_s, range(extent.elections), chunksize=10)
         self._loaded = pool.map_async(commits_and_syncs, range(8), chunksize=1)
         self._power_cuts = pool.apply_async(power_cuts)
         self._flipped_bits = pool.apply_async(flipped_bits)
@@ -227,18 +227,24 @@
     def figures(self) -> dict[str, float | int | str]:
         extent = self._extent
         found = self._planted.get()
-        for name, what in zip(DEFECTS, found, strict=True):
-            print_progress(f"{name}: {what[:100] or 'NOT FOUND'}")
-        explored, in_states = tell(self._explored.get())
-        of_five, in_five = tell(self._of_five.get())
-        walked, in_walks = tell(self._walked.get())
-        kept, in_schedules = tell(self._kept.get())
-        calls, in_histories = tell(self._seen.get())
-        broken = [*in_states, *in_five, *in_walks, *in_schedules, *in_histories]
+        for name, detection in zip(DEFECTS, found, strict=True):
+            print_progress(f"{name}: {detection[:100] or 'NOT FOUND'}")
+        explored, state_violations = print_violations(self._explored.get())
+        of_five, violations_of_five = print_violations(self._of_five.get())
+        walked, walk_violations = print_violations(self._walked.get())
+        acknowledged_count, schedule_violations = print_violations(self._acknowledged.get())
+        calls, history_violations = print_violations(self._histories.get())
+        broken = [
+            *state_violations,
+            *violations_of_five,
+            *walk_violations,
+            *schedule_violations,
+            *history_violations,
+        ]
         commits, syncs = (sum(column) for column in zip(*self._loaded.get(), strict=True))
-        times = sorted(self._led.get())
+        times = sorted(self._elections.get())
         tried, recovered = self._power_cuts.get()
-        flipped, found_flipped = self._flipped_bits.get()
+        flipped, detected_flips = self._flipped_bits.get()
         return {
             "states_explored": explored,
             "depth": extent.depth,
@@ -248,17 +254,17 @@
             "mutations_planted": len(DEFECTS),
             "mutations_found": sum(map(bool, found)),
             "schedules": extent.schedules,
-            "acknowledged": kept,
+            "acknowledged": acknowledged_count,
             "histories": extent.histories,
             "calls": calls,
-            "not_linearizable": len(in_histories),
+            "not_linearizable": len(history_violations),
             "broken": len(broken),
             "acknowledged_lost": sum("lost" in text or "lacks" in text for text in broken),
             "two_leaders_in_a_term": sum("two leaders" in text for text in broken),
             "power_cuts_tried": tried,
             "power_cuts_recovered": recovered,
             "bits_flipped": flipped,
-            "bits_told": found_flipped,
+            "bits_told": detected_flips,
             "commits_per_sync": commits / syncs,
             "election_s_p50": times[len(times) // 2],
             "election_s_p99": times[int(len(times) * 0.99)],
@@ -276,7 +282,7 @@
         extent, schedules=chosen.schedules or extent.schedules, depth=chosen.depth or extent.depth
     )
     with get_context("fork").Pool(os.cpu_count()) as pool:
-        report(Running(pool, extent).figures())
+        report(RunningJobs(pool, extent).figures())
 
 
 if __name__ == "__main__":
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -105,7 +105,7 @@
 
 async def measure_full_load(seconds: float, rounds: int) -> dict[str, float]:
     """Keep `b` under a closed loop while `a` is calm and frozen in turn, with the same requests to `a`."""
-    ratios, served, asked = [], 0, 0
+    ratios, served, request_count = [], 0, 0
     servers = await ServerProcess().start(available_cores()[2])
     try:
         addresses = {
@@ -130,7 +130,7 @@
                         await servers.command("thaw", "a")
                         rates[state] = rate
                         if state == "frozen":
-                            served, asked = served + len(times), asked + len(times) + failed
+                            served, request_count = served + len(times), request_count + len(times) + failed
                     ratios.append(rates["frozen"] / rates["calm"])
                     print_progress(
                         f"round {number}: b at full load {rates['calm']:.0f} a second, "
@@ -140,7 +140,7 @@
                 await proxy.stop()
     finally:
         await servers.stop()
-    return {"full_load_served_share": served / asked, "full_load_rate_ratio": median(ratios)}
+    return {"full_load_served_share": served / request_count, "full_load_rate_ratio": median(ratios)}
 
 
 async def _load_both(proxy: ProxyProcess, name: str, seed: int, seconds: float) -> list[ClientLog]:
