--- a/examples/booking.py
+++ b/examples/booking.py
@@ -1,4 +1,4 @@
-"""A booking that is made at most once, though responses may be lost.
+"""A booking that is made at most once, even if responses are lost.
 
 python -m examples.booking 127.0.0.1:8147 pitches.example
 """
@@ -13,7 +13,7 @@
 
 
 async def book(client: Client, host: str, path: str, order: str, timeout_s: float = 4.0) -> Response:
-    """One order under one key. Raises NotExecuted, OutcomeUnknown or ExecutionFailed."""
+    """Send one order with its idempotency key. Raises NotExecuted, OutcomeUnknown or ExecutionFailed."""
     return await client.call(
         "POST",
         host,
@@ -27,7 +27,7 @@
 
 
 async def book_and_report(client: Client, host: str, path: str, order: str) -> str:
-    """What the guest is told."""
+    """Book, and return the message for the guest."""
     try:
         response = await book(client, host, path, order)
     except NotExecuted:
@@ -35,8 +35,8 @@
     except ExecutionFailed as problem:
         return f"refused by the booking service: {problem.status}"
     except OutcomeUnknown:
-        # Its answer is lost for good, or it is still at work. Nobody books it again under another key before
-        # somebody has looked: that could charge the guest twice.
+        # The response is lost, or the order is still being executed. It must not be booked again with another
+        # key before somebody has checked it: that could charge the guest twice.
         return f"not known yet; we look into order {order}"
     return f"booked, seal {response.headers.get('cometdoor-response-seal', '')}"
 
--- a/examples/change.py
+++ b/examples/change.py
@@ -1,4 +1,4 @@
-"""A configuration change that does not undo another operator's change of the same moment.
+"""A configuration change that does not undo a concurrent change of another operator.
 
 python -m examples.change 10.0.0.1:8144,10.0.0.2:8144 r-search 2.5
 """
@@ -13,8 +13,10 @@
 
 
 async def set_timeout(operator: Operator, route: str, timeout_s: float) -> int:
-    """The version that has it. Raises InvalidConfiguration, NoDefiniteResponse, or KeyError where there is
-    no such route."""
+    """Set a route's timeout, and return the version that contains it.
+
+    Raises InvalidConfiguration, NoDefiniteResponse, or KeyError if there is no such route.
+    """
 
     def edit(configuration: dict[str, Any]) -> None:
         matching = [
--- a/examples/graceful_shutdown.py
+++ b/examples/graceful_shutdown.py
@@ -14,7 +14,7 @@
 
 
 async def serve_until(agent: BackendAgent, stopping: asyncio.Event, drain_s: float = 2.0) -> bool:
-    """Beats until it is told to stop, then drains. Whether its notice was heard."""
+    """Send heartbeats until `stopping` is set, then drain; return whether the drain was acknowledged."""
     heartbeats = asyncio.create_task(agent.run_heartbeats())
     await stopping.wait()
     heartbeats.cancel()
@@ -26,7 +26,7 @@
 async def serve_connection(
     agent: BackendAgent, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    """The smallest backend there can be: it says hello, and whether it is well."""
+    """Serve a minimal backend: a fixed response, and health checks."""
     try:
         while True:
             lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
@@ -52,7 +52,7 @@
     server = await asyncio.start_server(
         lambda reader, writer: serve_connection(agent, reader, writer), host, int(port)
     )
-    print("left in order" if await serve_until(agent, stopping) else "left unheard")
+    print("drained" if await serve_until(agent, stopping) else "stopped; the drain was not acknowledged")
     server.close()
 
 
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Demo: two services behind one proxy on this machine; halfway the servers of one service freeze."""
+"""Demo: two services behind one proxy on this machine; the servers of one service freeze for a while."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 FROZEN_SERVICE = "search"
 FREEZE_START_SHARE, FREEZE_END_SHARE = 0.35, 0.7  # of the demo's duration
 REFRESH_INTERVAL_S = 0.25
-VIEW_WINDOW_S = 2.0  # the live view counts requests that ended in this time
+VIEW_WINDOW_S = 2.0  # the live view counts requests that ended within this time
 
 
 def row(
@@ -57,7 +57,7 @@
 def table(title: str, rows: Sequence[list[str]], rules: bool) -> Table:
     summary = Table(title=title, title_justify="left", box=box.SIMPLE)
     for index, column in enumerate(
-        ("service", "asked", "served", "refused", "failed", "p50 ms", "p99 ms", "rules")
+        ("service", "requests", "served", "rejected", "failed", "p50 ms", "p99 ms", "rules")
     ):
         if rules or column != "rules":
             summary.add_column(column, justify="left" if index == 0 else "right", no_wrap=True)
@@ -67,7 +67,7 @@
 
 
 class Demo:
-    """Runs the demo: servers, proxy, load, and a table that is printed while it runs."""
+    """Runs servers, a proxy and load, and prints a table of the results."""
 
     def __init__(self, seconds: float, console: Console) -> None:
         self.seconds = seconds
@@ -148,7 +148,7 @@
             while (elapsed_s := time.monotonic() - started_at) < self.seconds:
                 since = time.monotonic() - VIEW_WINDOW_S
                 recent = [attempt for attempt in self.ended_attempts[-4000:] if attempt.ended_at >= since]
-                state = "frozen" if self.frozen_at < time.monotonic() < self.thawed_at else "well"
+                state = "frozen" if self.frozen_at < time.monotonic() < self.thawed_at else "healthy"
                 rows = [
                     row(name, [attempt for attempt in recent if attempt.service == name], None)
                     for name in LOADS
--- a/standins/discovery_server.py
+++ b/standins/discovery_server.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's discovery: endpoint lists and watches, which may be delayed, down or ended."""
+"""Stand-in for the platform's discovery: endpoint lists and watches, which tests can delay or interrupt."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 import time
 from typing import Any
 
-KEEPALIVE_INTERVAL_S = 2.0  # between empty lines while nothing changes
+KEEPALIVE_INTERVAL_S = 2.0  # between the empty lines that a watch gets while nothing changes
 
 
 class DiscoveryServer:
-    """A discovery service on loopback, whose lists the test changes."""
+    """A discovery service on loopback; the test publishes the changes of its lists."""
 
     def __init__(self, notification_delay_s: float = 0.0) -> None:
         self.notification_delay_s = notification_delay_s  # delay before watches are notified of a change
@@ -30,7 +30,7 @@
         return self
 
     def stop(self) -> None:
-        """Stop: watches end and calls are refused."""
+        """Stop: abort all watches and refuse new connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -95,8 +95,12 @@
                 writer.write(b"1\r\n\n\r\n")
                 await writer.drain()
         except asyncio.CancelledError:
-            pass  # the loop is closing; if raised, asyncio's own callback would print it
-        except (asyncio.IncompleteReadError, ConnectionError, RuntimeError):  # uvloop: closed
+            pass  # the loop is closing; if it propagated, asyncio's own callback would print it
+        except (
+            asyncio.IncompleteReadError,
+            ConnectionError,
+            RuntimeError,
+        ):  # uvloop raises RuntimeError on a closed transport
             with contextlib.suppress(ConnectionError):
                 writer.close()
         finally:
--- a/standins/http_client.py
+++ b/standins/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client, with a connection for each call, for tests, scenario tests and benchmarks."""
+"""A small HTTP/1.1 client for tests, scenario tests and benchmarks; each call opens a connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     body: bytes = b"",
     timeout_s: float = 3.0,
 ) -> tuple[int, Headers, bytes]:
-    """Make one call on a connection of its own. Raises OSError or TimeoutError."""
+    """Make one call on a new connection. Raises OSError or TimeoutError."""
     async with asyncio.timeout(timeout_s):
         reader, writer = await asyncio.open_connection(address, port)
         try:
--- a/standins/http_server.py
+++ b/standins/http_server.py
@@ -15,7 +15,7 @@
 
 
 class StandInServer:
-    """A listening server whose address stays the same when it stops and starts again."""
+    """A listening server that keeps its address when it is stopped and started again."""
 
     def __init__(self, model: ServerModel) -> None:
         self.model = model
@@ -37,7 +37,7 @@
         return f"{self.address[0]}:{self.address[1]}"
 
     def stop(self) -> None:
-        """Stop like a process that dies: connections are reset, new ones refused."""
+        """Stop as a killed process would: reset open connections and refuse new ones."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/standins/load_generator.py
+++ b/standins/load_generator.py
@@ -25,26 +25,26 @@
 class ClientOutcome(StrEnum):
     """How a client's attempt ended."""
 
-    PENDING = "open"
+    PENDING = "pending"
     ANSWERED = "answered"  # a complete response in time
-    CANCELLED = "left"  # the client disconnected before its deadline and needs no response
-    TIMED_OUT = "gave up"  # no response by the client's deadline
-    CONNECTION_LOST = "lost"  # the connection ended without a complete response
-    CONNECT_FAILED = "not taken"  # no connection could be opened
+    CANCELLED = "cancelled"  # the client disconnected before its deadline and expects no response
+    TIMED_OUT = "timed out"  # no response by the client's deadline
+    CONNECTION_LOST = "connection lost"  # the connection ended without a complete response
+    CONNECT_FAILED = "connect failed"  # no connection could be opened
 
 
 @dataclass(frozen=True, slots=True)
 class ClassLoad:
     """Rate, deadline and retries of one request class."""
 
-    service: str  # under which it is logged
-    name: str  # its X-Qos
+    service: str  # name under which its attempts are logged
+    name: str  # value of the X-Qos header
     effect: str  # safe, keyed or unsafe
-    rate: float  # requests a second, at random moments
+    rate: float  # requests a second, with exponentially distributed intervals
     host: str
     path: str = "/"
     deadline_s: float = 1.0  # over all attempts of an operation
-    retries: int = 1  # after rejections, while there is time
+    retries: int = 1  # after rejections, if they fit within the deadline
     body: bytes = b"12345678"
 
 
@@ -56,14 +56,14 @@
     service: str
     cls: str
     effect: str
-    request: str  # X-Trace-Id
+    request: str  # value of the X-Trace-Id header
     key: str
     sent_at: float
     deadline_at: float
     outcome: ClientOutcome = ClientOutcome.PENDING
     status: int = 0
     ended_at: float = 0.0
-    resent_at: float | None = None  # resent at, since its reused connection was closed
+    resent_at: float | None = None  # when it was resent because its reused connection had been closed
     retry_after_s: float = 0.0
 
     @property
@@ -90,13 +90,13 @@
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value at a share of the sorted values; 0 where there are none."""
+    """Return the value at a share of the sorted values; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(int(share * len(ordered)), len(ordered) - 1)] if ordered else 0.0
 
 
 class LoadGenerator:
-    """Generates an open-loop load. `on_attempt_ended` is called with each attempt that has ended."""
+    """Generates an open-loop load; `on_attempt_ended` is called with each attempt when it ends."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         self.is_stopped = False
 
     async def run(self, seconds: float) -> ClientLog:
-        """Run the load; all attempts have ended when it returns."""
+        """Run the load, and return when all attempts have ended."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         next_at = [
@@ -262,7 +262,7 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """A connection to the proxy, reused for one attempt after the other."""
+    """A connection to the proxy, which is reused for successive attempts."""
 
     def __init__(self, load: LoadGenerator, pending_attempt: _PendingAttempt) -> None:
         self.opening: asyncio.Task[None] | None = None
--- a/standins/mesh.py
+++ b/standins/mesh.py
@@ -1,7 +1,7 @@
 """The mesh on this machine, as real processes: three control planes, and four data planes with backends.
 
 The demo submits a configuration, sends requests, and kills a control plane and a backend. At the end the logs
-of the stand-in backends are checked against what the clients saw. Each machine is an address of 127/8.
+of the stand-in backends are checked against the results of the clients. Each machine is an address of 127/8.
 """
 
 from __future__ import annotations
@@ -99,7 +99,7 @@
 class Mesh:
     """The processes of a mesh on loopback, one address each.
 
-    `network`: the first two numbers of their addresses; two meshes at a time need different ones.
+    `network`: the first two numbers of their addresses; meshes that run at the same time need different ones.
     """
 
     def __init__(self, folder: Path, core: int = 3, planes: int = 4, network: str = "127.0") -> None:
@@ -109,7 +109,7 @@
         self.traffic_log = TrafficLog()
         self.backends = {address: Backend(address, self.traffic_log) for address in self.planes}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
-        self.bandwidth_mbps = 0.0  # of each data plane's link; 0: not limited
+        self.bandwidth_mbps = 0.0  # of each data plane's link; 0: unlimited
 
     async def start(self) -> None:
         for address in [*self.core, *self.planes]:
@@ -126,7 +126,7 @@
         return role, settings(self.folder, role, address, seeds, service, bandwidth_mbps)
 
     async def launch(self, address: str, is_first: bool = True) -> None:
-        """Start the process of an address; if it is not the first one, its log goes on."""
+        """Start the process of an address; a restarted process (not `is_first`) appends to the same log."""
         role, path = self.settings(address)
         if not is_first:
             path.write_text(path.read_text().replace("initial-start = true", "initial-start = false"))
@@ -201,7 +201,7 @@
         return True
 
     async def request(self, address: str, kind: str, key: str = "", max_attempts: int = 2) -> int:
-        """Make a client's request with retries; return its last status, 0 for none."""
+        """Make a client's request with retries; return the last status, 0 if there was no response."""
         self.traffic_log.request_count += 1
         status = 0
         for _ in range(max_attempts):
@@ -215,7 +215,7 @@
     async def attempt_once(
         self, address: str, kind: str, key: str = "", deadline_ms: int = 2000
     ) -> tuple[int, float]:
-        """Return the status, 0 for none, and the pause before a retry in seconds."""
+        """Make one attempt; return its status (0 for no response) and the pause before a retry in seconds."""
         traffic_log = self.traffic_log
         attempt = secrets.token_hex(8)
         headers = {"Host": HOST, "Cometdoor-Attempt-Id": attempt, "Cometdoor-Deadline-Ms": str(deadline_ms)}
@@ -240,7 +240,9 @@
                 or executed_attempt.encode() != body.rstrip(PADDING)
                 or (not key and executed_attempt != attempt)
             ):
-                traffic_log.violations.append(f"MIXED: {attempt} got the answer of {executed_attempt}")
+                traffic_log.violations.append(
+                    f"mixed up: {attempt} received the response to {executed_attempt}"
+                )
         return status, float(fields.get("retry-after", "0.1"))
 
     async def run_traffic(
@@ -252,8 +254,8 @@
     ) -> None:
         """Send requests at a constant rate.
 
-        `actions`: callables by the second at which they are called. `at`: addresses of the data planes that
-        the clients use; None: all.
+        `actions`: callables by the time in seconds at which they are called. `at`: addresses of the data
+        planes that the clients use; None: all.
         """
         started_at = time.monotonic()
         due = dict(actions or {})
@@ -280,9 +282,9 @@
         repeated_keys = [key for key, runs in traffic_log.runs_by_key.items() if runs > 1]
         return [
             *traffic_log.violations,
-            *(f"TWICE: {key}" for key in repeated_keys),
+            *(f"executed more than once: {key}" for key in repeated_keys),
             *(
-                [f"{traffic_log.misrouted_requests} requests at another instance"]
+                [f"{traffic_log.misrouted_requests} requests reached another instance than the expected one"]
                 if traffic_log.misrouted_requests
                 else []
             ),
@@ -297,14 +299,14 @@
     with tempfile.TemporaryDirectory(prefix="cometdoor-") as name:
         mesh = Mesh(Path(name))
         try:
-            print_event(f"{len(mesh.core)} core members and {len(mesh.planes)} data planes are started")
+            print_event(f"{len(mesh.core)} control planes and {len(mesh.planes)} data planes are started")
             await mesh.start()
-            print_event(f"configuration 1 is sent: {await mesh.configure(1, 0)}")
+            print_event(f"configuration 1 is submitted: {await mesh.configure(1, 0)}")
             print_event(f"all data planes are ready: {await mesh.wait_ready()}")
             remaining_s = max(seconds - (time.monotonic() - started_at) - 1.0, 4.0)
 
             def kill_core() -> None:
-                print_event(f"core member {mesh.core[0]} is killed")
+                print_event(f"control plane {mesh.core[0]} is killed")
                 mesh.processes[mesh.core[0]].kill()
 
             def kill_backend() -> None:
@@ -314,8 +316,10 @@
             await mesh.run_traffic(
                 remaining_s, 60.0, {remaining_s * 0.3: kill_core, remaining_s * 0.6: kill_backend}
             )
-            print_event(f"configuration 3 is sent on top of 1: {await mesh.configure(3, 1)}")
-            print_event(f"another on top of 1, too late: {await mesh.configure(4, 1)}")
+            print_event(f"configuration 3 is submitted, based on 1: {await mesh.configure(3, 1)}")
+            print_event(
+                f"configuration 4 is submitted, based on 1, which is outdated: {await mesh.configure(4, 1)}"
+            )
         finally:
             await mesh.stop()
         traffic_log, violations = mesh.traffic_log, mesh.find_violations()
@@ -323,12 +327,12 @@
         other_statuses = {
             status: count for status, count in sorted(traffic_log.status_counts.items()) if status != 200
         }
-        print(f"\n{traffic_log.request_count} requests: {served} served; other ends: {other_statuses}")
+        print(f"\n{traffic_log.request_count} requests: {served} served; other statuses: {other_statuses}")
         runs, keys = sum(traffic_log.runs.values()), len(traffic_log.runs_by_key)
         print(
-            "BROKEN: " + "; ".join(violations[:5])
+            "violations: " + "; ".join(violations[:5])
             if violations
-            else f"{runs} runs at the backends; {keys} keys, none run twice"
+            else f"{runs} executions at the backends; {keys} keys, none executed twice"
         )
         return 1 if violations or served < 0.9 * traffic_log.request_count else 0
 
--- a/standins/mesh_backend.py
+++ b/standins/mesh_backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend of the mesh, and the log of what backends executed and clients saw."""
+"""A stand-in backend of the mesh, and the log of executions at backends and results at clients."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 )
 
 
-PADDING = b"."  # fills the body of a response up to its size
+PADDING = b"."  # pads the body of a response to its size
 SERVICE, HOST = "pitches", "pitches.example"
 
 
 @dataclass
 class TrafficLog:
-    """What was executed, as the backends saw it, and the results, as the clients saw them."""
+    """Executions as logged by the backends, and results as logged by the clients."""
 
     runs: Counter[str] = field(default_factory=Counter)  # attempt id -> executions
     runs_by_key: Counter[str] = field(default_factory=Counter)
@@ -50,8 +50,10 @@
         self.state = "ready"
         self.service_time_s: Callable[[], float] = lambda: 0.02
         self.calls: list[str] = []  # paths that each execution calls through the mesh, concurrently
-        self.body_bytes: dict[str, int] = {}  # by the first segment of the path: size of the response's body
-        self.responses_to_drop = 0  # number of the next responses that are not sent
+        self.body_bytes: dict[
+            str, int
+        ] = {}  # minimum size of a response's body, by the first segment of the path
+        self.responses_to_drop = 0  # how many of the next responses are not sent
         self.heartbeat_interval_s = 0.5
         self.runs = 0
         self.drain_acknowledged_at: float | None = None  # when its draining heartbeat was acknowledged
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes for benchmarks and the demo: stand-in servers, and the proxy of an operators' file."""
+"""Processes for benchmarks and the demo: stand-in servers, and the proxy of a settings file."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @functools.cache
 def available_cores() -> list[int]:
-    """Return the cores that this process could use at the first call, even if it is bound to one by now.
+    """Return the cores that this process could use at the first call, even if it has since been bound to one.
 
     The last one is repeated for machines with few cores.
     """
@@ -51,7 +51,7 @@
         self._process.stdin.write(orjson.dumps({"do": do, "service": service, **more}) + b"\n")
         line = await self._process.stdout.readline()
         if not line:
-            raise RuntimeError(f"the stand-in servers ended on {do}")
+            raise RuntimeError(f"the process of the stand-in servers ended on the command {do}")
         reply: dict[str, Any] = orjson.loads(line)
         return reply
 
@@ -73,7 +73,7 @@
 class ProxyProcess:
     """`python -m cometdoor serve FILE`, from its start to its end.
 
-    `READY_TEXT`: text of the log line that says that it serves; the last word of the line is the address.
+    `READY_TEXT`: text of the log line that reports that it serves; the last word of the line is the address.
     """
 
     COMMAND, READY_TEXT = "serve", " services on "
@@ -116,13 +116,13 @@
             self.log.append(line.decode())
 
     async def wait_for_log(self, text: str) -> str:
-        """Wait for the first line of its log that has the text, and return it."""
+        """Wait for the first line of its log that contains the text, and return it."""
         while True:
             for line in self.log:
                 if text in line:
                     return line
             if self._log_reader is not None and self._log_reader.done():
-                raise RuntimeError(f"the proxy ended without a word of {text!r}: " + "".join(self.log))
+                raise RuntimeError(f"the proxy ended without logging {text!r}: " + "".join(self.log))
             await asyncio.sleep(0.01)
 
     async def kill(self) -> None:
@@ -155,7 +155,7 @@
     sockets: int = 1024,
     limits: str = "",
 ) -> str:
-    """Return a settings file for services whose servers are given by name and address."""
+    """Return a settings file for services. `services`: for each service, its servers' addresses by name."""
     lines = [f"sockets = {sockets}", "[[listener]]", f'address = "{listen}"']
     for service, servers in services.items():
         lines += ["[[service]]", f'name = "{service}"', f'routes = [{{host = "{service}.example.org"}}]']
--- a/standins/request_log.py
+++ b/standins/request_log.py
@@ -12,12 +12,12 @@
 
 
 class ExecutionState(StrEnum):
-    """How far a server got with a request."""
+    """How far the execution of a request got at a server."""
 
     QUEUED = "waiting"  # in the queue, not executed
     RUNNING = "running"  # its effect has taken place
-    EXECUTED = "ran"  # and finished
-    DEDUPLICATED = "repeat"  # its key was already executed: answered without a second effect
+    EXECUTED = "ran"  # its effect has taken place, and it has finished
+    DEDUPLICATED = "repeat"  # its key had been executed already: answered without a second effect
     DROPPED = "dropped"  # ended before its execution
 
 
@@ -34,11 +34,11 @@
     execution_state: ExecutionState = ExecutionState.QUEUED
     executed_at: float | None = None  # when its effect took place: at the start of its execution
     ended_at: float | None = None
-    end_reason: str = ""  # how it ended, as a text
+    end_reason: str = ""  # why it ended, as text
 
     @property
     def has_executed(self) -> bool:
-        """Whether it took effect, as far as can be known."""
+        """True if the request took effect, as far as the server's log shows."""
         return self.executed_at is not None
 
 
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -1,4 +1,4 @@
-"""Checks of the four rules against the logs of servers and clients; reports of the proxy do not count."""
+"""Checks of the four rules against the logs of servers and clients, not against reports of the proxy."""
 
 from __future__ import annotations
 
@@ -50,21 +50,26 @@
             violations.append(
                 RuleViolation(
                     1,
-                    f"{attempt.request} ({attempt.cls}) was {attempt.outcome} after {attempt.seconds:.3f} s",
+                    f"{attempt.request} ({attempt.cls}) ended: {attempt.outcome}, "
+                    f"after {attempt.seconds:.3f} s",
                 )
             )
     for entry in request_log.entries:
         matching = attempts_by_id.get(entry.request)
         if matching is None:
-            violations.append(RuleViolation(1, f"{entry.server} got {entry.request}, which no client sent"))
+            violations.append(
+                RuleViolation(1, f"{entry.server} received {entry.request}, which no client sent")
+            )
         elif (
             matching.outcome in (ClientOutcome.ANSWERED, ClientOutcome.CANCELLED)
             and entry.first_byte_at > matching.ended_at + network_slack_s
         ):
-            violations.append(RuleViolation(1, f"{entry.server} got {entry.request} after its final answer"))
+            violations.append(
+                RuleViolation(1, f"{entry.server} received {entry.request} after its final response")
+            )
         elif matching.resent_at is not None and entry.first_byte_at < matching.resent_at - NETWORK_SLACK_S:
             violations.append(
-                RuleViolation(1, f"{entry.request} had been taken when its connection was closed")
+                RuleViolation(1, f"{entry.request} had reached a server before its connection was closed")
             )
     return violations
 
@@ -89,7 +94,9 @@
             )
         if attempt.effect == "unsafe" and attempt.was_rejected and executed:
             violations.append(
-                RuleViolation(2, f"{attempt.request} (unsafe {attempt.cls}) was refused though it had run")
+                RuleViolation(
+                    2, f"{attempt.request} (unsafe {attempt.cls}) was rejected although it had been executed"
+                )
             )
     return violations
 
@@ -98,8 +105,8 @@
     return [
         RuleViolation(
             3,
-            f"{entry.server} got {entry.request} "
-            f"{entry.first_byte_at - drained_at[entry.server]:.3f} s after it was to get nothing",
+            f"{entry.server} received {entry.request} "
+            f"{entry.first_byte_at - drained_at[entry.server]:.3f} s after it was to receive nothing more",
         )
         for entry in request_log.entries
         if entry.first_byte_at > drained_at.get(entry.server, float("inf")) + DRAIN_NOTICE_S + NETWORK_SLACK_S
@@ -108,6 +115,6 @@
 
 def find_overloaded_servers(request_log: RequestLog) -> list[RuleViolation]:
     return [
-        RuleViolation(4, f"{server} was pushed over at {at:.3f}")
+        RuleViolation(4, f"{server} crashed from overload at {at:.3f}")
         for server, at in request_log.overload_crashes
     ]
--- a/standins/server_model.py
+++ b/standins/server_model.py
@@ -15,7 +15,7 @@
 
 from standins.request_log import ExecutionState, RequestLog, RequestLogEntry
 
-Latency = Callable[[Random], float]  # seconds of work for one request
+Latency = Callable[[Random], float]  # draws the seconds of work for one request
 
 
 def fixed(seconds: float) -> Latency:
@@ -52,17 +52,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """How a server warms up.
+    """Slow start of a server.
 
-    More than `overload_factor` times its capacity within `window_s` crashes it.
+    More requests within `window_s` than `overload_factor` times its capacity crash it.
     """
 
     start: float = 0.3  # share of its capacity at the start
     warm_up_s: float = 9.0
-    rate: float = 100.0  # requests a second that it can serve when warm
+    rate: float = 100.0  # requests a second that it can serve after slow start
     overload_factor: float = 3.0
     window_s: float = 3.0
-    slack: float = 4.0  # further requests, for chance
+    slack: float = 4.0  # requests allowed above the limit, for random variation
 
     def capacity_share(self, uptime_s: float) -> float:
         if uptime_s >= self.warm_up_s:
@@ -104,7 +104,7 @@
 
 
 class ServerModel:
-    """A server that decides at the times passed in what becomes of each call."""
+    """A server without a clock: decides how each call ends, at the times that are passed in."""
 
     def __init__(
         self,
@@ -125,7 +125,7 @@
         self.slow_start = slow_start
         self.started_at = started_at
         self.has_crashed = False
-        # Most requests in a window during slow start, relative to the number that crashes it.
+        # Maximum number of requests in a window during slow start, relative to the number that crashes it.
         self.slow_start_peak = 0.0
         self._keys = keys or KeyStore()
         self._random = Random(f"{seed}:{name}")
@@ -143,7 +143,7 @@
         return len(self._queue) + len(self._running)
 
     def freeze(self, now: float) -> None:
-        """Freeze: accept connections and requests, and do nothing."""
+        """Freeze: keep accepting connections and requests, but process nothing."""
         if self._frozen_at is None:
             self._frozen_at = now
 
@@ -171,14 +171,14 @@
         call = Call(entry)
         behaviour = self.behaviour
         if self._crashes_under_load(now) or self._happens(behaviour.reset_before_share):
-            self._end(call, now, "reset before it ran")
+            self._end(call, now, "connection reset before execution")
             return call, Reply(0)
         if (
             behaviour.is_draining
             or self._happens(behaviour.rejected_share)
             or len(self._queue) >= behaviour.queue_limit
         ):
-            self._end(call, now, "turned away")
+            self._end(call, now, "rejected")
             return call, Reply(503, not_executed=True)
         self._queue.append(call)
         return call, None
@@ -231,7 +231,7 @@
 
     def _finish(self, call: Call, now: float) -> Reply:
         if self._happens(self.behaviour.reset_after_share):
-            self._end(call, now, "reset after it ran")
+            self._end(call, now, "connection reset after execution")
             return Reply(0)
         status = 500 if self._happens(self.behaviour.error_share) else 200
         self._end(call, now, f"answered {status}")
--- a/standins/server_process.py
+++ b/standins/server_process.py
@@ -1,14 +1,14 @@
-"""Stand-in servers in a process of their own.
+"""Stand-in servers in a separate process.
 
 Commands are JSON lines on standard input; each is answered by one line on standard output. The process ends
-with its input.
+when its input ends.
 
     {"do": "start", "service": "a", "count": 3, "ms": 2.0}     -> {"addresses": {"a-0": "127.0.0.1:4001"}}
-    {"do": "freeze", "service": "a"}, thaw, stop, restart      -> {}  all, or the one given by "number"
+    {"do": "freeze", "service": "a"}, thaw, stop, restart      -> {}  all, or the one with index "number"
     {"do": "slow_start_peak", "service": "a"}                  -> {"peak": 0.4}  since the last such command
     {"do": "set", "service": "a", "behaviour": {"slowdown_factor": 3.0}}  -> {}
     {"do": "request_log", "service": "a"}                      -> {"entries": [...], "falls": [...]}
-    {"do": "late_ms", "service": "a"}                          -> {"late_ms": 0.3}  of the process, at worst
+    {"do": "late_ms", "service": "a"}                          -> {"late_ms": 0.3}  maximum of the process
 """
 
 from __future__ import annotations
@@ -121,7 +121,7 @@
                 for server in selected:
                     getattr(server, action)()
             case unknown_command:
-                raise ValueError(f"no order {unknown_command!r}")
+                raise ValueError(f"unknown command {unknown_command!r}")
         return {}
 
 
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -1,14 +1,14 @@
-"""A soak test: the mesh as real processes under random, overlapping troubles, with its invariants on.
+"""A soak test: the mesh as real processes under random, overlapping faults, with its invariants checked.
 
 Six data planes with narrow links, of which two serve files and the rates that searches look up; three
-control planes. For each seed two or three troubles overlap in each round. Afterwards, in calm:
+control planes. For each seed two or three faults overlap in each round. Afterwards, without faults:
 
-- no answer belonged to another request, no key was executed twice, nothing ran at another instance;
-- no process has logged an error, which a violated invariant is, and none has ended by itself;
-- nearly all requests of the calm seconds at the end are served.
+- no response belonged to another request, no key was executed twice, no request reached a wrong instance;
+- no process has logged an error (violated invariants are logged as errors) or ended by itself;
+- nearly all requests in the seconds without faults at the end are served.
 
-A cut between two processes that run needs privileges on loopback; a process that is paused for longer than
-the keepalive timeout stands for it. The simulated meshes (`simulation/mesh.py`) have real cuts.
+A partition between two running processes needs privileges on loopback; instead, processes are paused for
+longer than the keepalive timeout. The simulated meshes (`simulation/mesh.py`) have real partitions.
 
     python -m standins.soak [--quick] [--seeds N] [--first SEED]
 """
@@ -45,11 +45,11 @@
 
 
 class Soak:
-    """One mesh and the troubles of one seed; owner of the traffic and of what was observed."""
+    """One mesh and the faults of one seed; sends the traffic and holds what was observed."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.rng = random.Random(seed)
-        # A network of its own for each process and seed: tests and soaks may run at the same time.
+        # Each process and seed has its own network: tests and soak tests may run at the same time.
         self.mesh = Mesh(folder, core=3, planes=6, network=f"127.{1 + (os.getpid() + seed) % 254}")
         self.mesh.bandwidth_mbps = BANDWIDTH_MBPS
         self.history: list[str] = []
@@ -77,7 +77,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # --- troubles ---
+    # --- faults ---
 
     def _record(self, message: str) -> None:
         self.history.append(f"{time.monotonic():.2f} {message}")
@@ -148,7 +148,7 @@
             await asyncio.sleep(self.rng.expovariate(per_s))
 
     async def run(self) -> None:
-        """Play the seed; what is wrong is in `problems` afterwards."""
+        """Run the seed; `problems` lists the failed checks afterwards."""
         await self.mesh.start()
         try:
             assert await self.mesh.configure(1, 0, routes=ROUTES) == 200 and await self.mesh.wait_ready()
@@ -172,7 +172,7 @@
         calm = [(kind, status) for started_at, kind, status in self.results if started_at >= calm_from]
         unserved = [f"{kind}: {status}" for kind, status in calm if status != 200]
         if not calm or len(unserved) > (1.0 - MIN_CALM_SHARE) * len(calm):
-            self.problems.append(f"{len(unserved)} of {len(calm)} not served in calm: {unserved[:5]}")
+            self.problems.append(f"{len(unserved)} of {len(calm)} not served without faults: {unserved[:5]}")
 
     def _check_processes(self) -> None:
         for address, process in self.mesh.processes.items():
@@ -184,7 +184,7 @@
 
 
 def soak(seed: int) -> list[str]:
-    """Play one seed, print its result, and return its problems."""
+    """Run one seed, print its result, and return its problems."""
     with tempfile.TemporaryDirectory(prefix="cometdoor-soak-") as name:
         soak_run = Soak(Path(name), seed)
         asyncio.run(soak_run.run())
--- a/tests/standins/test_rules.py
+++ b/tests/standins/test_rules.py
@@ -1,4 +1,4 @@
-"""The checks of the rules find each violation, and nothing else."""
+"""The checks of the rules find each violation, and report nothing else."""
 
 from __future__ import annotations
 
--- a/tests/standins/test_server_model.py
+++ b/tests/standins/test_server_model.py
@@ -1,4 +1,4 @@
-"""The server model: how it handles requests, and what its request log says."""
+"""The server model: how it handles requests, and what its request log contains."""
 
 from __future__ import annotations
 
--- a/tests/standins/test_soak.py
+++ b/tests/standins/test_soak.py
@@ -1,4 +1,4 @@
-"""The short form of the soak test (standins/soak.py): one seed over real processes and sockets."""
+"""The soak test (standins/soak.py) with one seed, over real processes and sockets."""
 
 from __future__ import annotations
 
--- a/tools/dependencies.py
+++ b/tools/dependencies.py
@@ -2,8 +2,8 @@
 
     pip install -c constraints.txt $(python3 tools/dependencies.py mesh)
 
-installs what the extra `mesh` needs, and not the project itself: the deploy files run it from the root. It is
-a script because the pip of Debian 12 (23.0) has no option for that. The standard library suffices.
+installs what the extra `mesh` needs, but not the project itself, which the deploy files run from the root. It
+is a script because the pip of Debian 12 (23.0) has no option for that. The standard library suffices.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 def read_dependencies(pyproject: Path, extras: Iterable[str] = ()) -> list[str]:
     """The project's requirements and those of `extras`, in their order and once each.
 
-    An extra may name others of the project (`cometdoor[demo,mesh]`): their requirements stand in its place.
+    An extra may name others of the project (`cometdoor[demo,mesh]`): their requirements replace it.
     Raises `KeyError` for an extra that is not declared.
     """
     project = tomllib.loads(pyproject.read_text())["project"]
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,7 +1,7 @@
 """Tests that fail for a known fault: KNOWN-RED.txt at the root, one line each, `test | cause | issue`.
 
-A story is named by its description, any other test by its node id. Runs of the tests pass over just these,
-and print them. A listed test that passes fails the run: its line is to be removed.
+A story is named by its description, any other test by its node id. Test runs tolerate the failure of just
+these tests, and print them. A listed test that passes fails the run: its line must be removed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     Raises
     ------
     ValueError
-        If a line lacks a part, or if there are more than `MAX_TESTS`.
+        If a line lacks a field, or if there are more than `MAX_TESTS` tests.
     """
     if not path.exists():
         return {}
