--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,6 +1,6 @@
-"""Cost of control for a proxy and a replica, per unit and at the size that the operators expect.
+"""Cost of control work for a proxy and a replica, per unit and at the size that the operators expect.
 
-Slopes are measured on the modules and programs in service (`capacity_proxy*`, `capacity_replica*`);
+Costs per unit are measured on the real modules and programs (`capacity_proxy*`, `capacity_replica*`);
 `at_target` multiplies them by the target's counts. Processor time is that of one core of this machine. The
 figures in docs/CAPACITY.md are from the full run.
 
@@ -28,10 +28,10 @@
     proxies: int = 980
     services: int = 57
     calls_per_s: float = 49_000.0
-    depth: int = 16  # of nested calls, at most
+    depth: int = 16  # maximum depth of nested calls
     changes_per_day: float = 1_100.0
     heartbeat_s: float = 1.5  # assumed: as on their sites today
-    window_s: float = 65.0  # assumed: how long keys are kept, as today
+    window_s: float = 65.0  # assumed: retention time of keys, as today
     # Assumed, from the tables of four sites: 0.201 to 0.206 of the requests of clients are keyed (133 of 660,
     # 154 of 748 a second), calls of backends never. The upper bound is that all calls come from clients, the
     # lower bound that each call of a client causes 15 others.
@@ -50,7 +50,7 @@
 
 
 def at_target(figures: Figures, quick: bool) -> Figures:
-    """Return slopes multiplied by the target's counts; nothing that was not measured."""
+    """Return the measured costs per unit, multiplied by the target's counts."""
     voters, batch = 5, 10
     proxies = TARGET.proxies
     per_proxy = f"proxy_among_{proxies}"
@@ -113,7 +113,7 @@
 
 
 def measure(job: tuple[str, bool]) -> Figures:
-    """Measure `proxy` or `replica`, each on some two cores."""
+    """Measure `proxy` or `replica`; each uses about two cores."""
     kind, quick = job
     if kind == "proxy":
         return capacity_proxy_process.processes(quick) | capacity_proxy.gossip_slopes(quick)
@@ -130,7 +130,9 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="shorter, and without 980 members in memory")
+    parser.add_argument(
+        "--quick", action="store_true", help="shorter, and without the group of 980 members in memory"
+    )
     quick = parser.parse_args().quick
     figures: Figures = {}
     with get_context("fork").Pool(2) as pool:
--- a/benchmarks/capacity_mesh.py
+++ b/benchmarks/capacity_mesh.py
@@ -1,7 +1,7 @@
 """One real proxy among simulated neighbours, for the capacity benchmarks.
 
-`HollowMesh` holds records of as many proxies and replicas as requested. All their addresses lead to this
-process, which answers as the real ones do.
+`SimulatedNeighbours` holds records of as many proxies and replicas as requested. All their addresses lead to
+this process, which answers as the real ones do.
 """
 
 from __future__ import annotations
@@ -52,12 +52,8 @@
 from standins.mesh import Mesh
 from standins.mesh_backend import CONTROL_PORT, HOST, INTERNAL_PORT, OUTBOUND_PORT
 
-DIGEST_SENDERS = 14  # that send digests to a proxy: its watchers and an active view
-
-
+DIGEST_SENDERS = 14  # neighbours that send digests to a proxy: its watchers and an active view
 DIGEST_INTERVAL_S = 0.25
-
-
 CALLERS = 8
 
 
@@ -71,7 +67,7 @@
 
 
 class SimulatedNeighbours:
-    """All neighbours of one proxy, played by this process."""
+    """All neighbours of one proxy, simulated by this process."""
 
     def __init__(self, size: int, routes: int = ROUTES) -> None:
         loop = asyncio.get_running_loop()
@@ -147,7 +143,7 @@
         return ConfigurationReply(newest, delta.compress(self.bodies[newest]))
 
     def send_digests(self, peer: str) -> None:
-        """Send digests at intervals as the proxy's neighbours do, each on its own connection."""
+        """Send digests at intervals as the proxy's neighbours do, each neighbour on its own connection."""
         self._timer = self._loop.call_later(DIGEST_INTERVAL_S, self.send_digests, peer)
         self._digests_sent += 1
         request = self.directory.build_digest_request([])
@@ -172,7 +168,7 @@
 
 
 class RealProxy:
-    """The proxy that is measured, and methods that give it work."""
+    """The measured proxy, with methods that send it work."""
 
     def __init__(self, mesh: Mesh, neighbours: SimulatedNeighbours) -> None:
         self.neighbours = neighbours
@@ -187,7 +183,7 @@
         return (processor_s(self.pid) - before) / (time.monotonic() - started_at)
 
     async def heartbeats(self, count: int) -> None:
-        """Send heartbeats one after the other, on one connection."""
+        """Send successive heartbeats on one connection."""
         reader, writer = await asyncio.open_connection(self.host, CONTROL_PORT)
         for sequence in range(count):
             body = self._heartbeat(sequence)
--- a/benchmarks/capacity_records.py
+++ b/benchmarks/capacity_records.py
@@ -11,12 +11,10 @@
 from standins.mesh_backend import HOST
 
 SERVICES, ZONES, REPLICAS = 57, 5, 7  # of the target
-PORTS = 27_380  # first internal port, instead of the stand-ins', so that both can run
+PORTS = 27_380  # first internal port; differs from the stand-ins', so that both can run at a time
 NEIGHBOUR_PORT = PORTS + 10
 NETWORK = "127.60"
 ROUTES = 400  # the operators say "several hundred"; their largest site has 310 idle ones
-
-
 SENT_BYTES = 1_500  # body of a response
 
 
--- a/benchmarks/capacity_replica.py
+++ b/benchmarks/capacity_replica.py
@@ -16,7 +16,7 @@
 from cometdoor.budget.allocator import BudgetAllocator
 from cometdoor.budget.lease import quarantine_s
 
-# The only place here that depends on how the control plane is split into modules.
+# The only imports here that depend on how the control plane is split into modules.
 from cometdoor.control.durable_state import DurableState
 from cometdoor.control.replica import Replica
 from cometdoor.control.roles import Role
--- a/benchmarks/capacity_replica_processes.py
+++ b/benchmarks/capacity_replica_processes.py
@@ -68,7 +68,7 @@
         return {address: processor_s(self.pid(address)) for address in self.mesh.core}
 
     def synced_values(self, address: str) -> tuple[str, int]:
-        """The newest file of its log, and the values in it: each was synced by itself."""
+        """Return the newest file of its log, and the number of its values; each value took one sync."""
         _, path = list_log_files(self.mesh.folder / address)[0]
         return path.name, sum(1 for _ in scan_batches(path.read_bytes()))
 
@@ -84,7 +84,7 @@
 
 
 async def _roles(mesh: Mesh) -> Roles:
-    """Wait until all are members and VOTERS of them vote, and return the roles."""
+    """Wait until all control planes are members and `VOTERS` of them are voters; return the roles."""
     until = time.monotonic() + 20.0
     while time.monotonic() < until:
         for address in mesh.core:
@@ -178,14 +178,8 @@
 
 
 CHANNELS = 50
-
-
 MAX_CHANNELS = 200
-
-
 RATES = (150, 600, 2_400)  # claims a second
-
-
 FIRST_KEY = secrets.randbits(40)
 
 
--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Extent:
-    """How much a run plays."""
+    """Number of runs of each kind, and their size."""
 
     runs: int  # recorded runs, with a power loss at every operation
     schedules: int  # with frequent snapshots
@@ -65,7 +65,7 @@
 
 
 def power_losses(seed: int) -> PowerLossReport:
-    """Play a recorded run; every second one has a disk that fails operations now and then."""
+    """Check the power losses of a recorded run; in every second one the disk fails some operations."""
     try:
         return check_power_losses(record_replica_run(seed, DISK_FAULT_ONE_IN * (seed % 2)), seed)
     except InvariantError as broken:
@@ -89,7 +89,7 @@
 
 
 class RunningJobs:
-    """The benchmark's jobs, running in a pool of processes."""
+    """The benchmark's jobs, started in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
         self._extent = extent
--- a/benchmarks/contact.py
+++ b/benchmarks/contact.py
@@ -1,9 +1,9 @@
-"""Isolated replicas and resent changes: what is answered, and is an accepted change ever rejected?
+"""Isolated replicas and resent changes: are responses correct, and is an accepted change ever rejected?
 
 It isolates replicas for twenty seconds in whole simulated meshes (`simulation/isolated_replica.py`), and
 explores client sessions in all histories to a depth and in long random walks
-(`simulation/client_sessions.py`). It plays clients that lose most of their responses during long partitions
-(`simulation/linearizability.py`), and planted defects that must be found
+(`simulation/client_sessions.py`). It runs clients that lose most of their responses during long partitions
+(`simulation/linearizability.py`), and checks that planted defects are found
 (`simulation/planted_session_defects.py`). It measures the time from the loss of a leader until the next
 change is acknowledged. Times are virtual. A state that is reached by two first steps counts twice.
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Extent:
-    """How much a run plays."""
+    """Number of runs of each kind, and their size."""
 
     partitions: int  # of each kind
     depth: int  # of the search through client sessions, with three replicas
@@ -118,7 +118,7 @@
 
 
 class RunningJobs:
-    """The benchmark's jobs, running in a pool of processes."""
+    """The benchmark's jobs, started in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
         partitions = [
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""Control plane: does it keep what it acknowledged, under the worst known faults?
+"""Control plane: does it retain what it acknowledged, under the worst known faults?
 
 All its checks run side by side in one pool of processes: replicas in all histories
 (`benchmarks/replicas.py`), isolated replicas and resent changes (`benchmarks/contact.py`), a second loss
@@ -50,7 +50,7 @@
     quick = chosen.quick
     examples = exchange.QUICK_EXAMPLES if quick else exchange.FULL_EXAMPLES
     with get_context("fork").Pool(chosen.processes) as pool:
-        # The jobs that take one process longest come first.
+        # The jobs that take longest come first.
         gossip_results = pool.map_async(gossip.figures, gossip.SIZES[::-1], chunksize=1)
         exchanges = pool.apply_async(exchange_figures, (examples,))
         running: list[
--- a/benchmarks/detector.py
+++ b/benchmarks/detector.py
@@ -1,6 +1,6 @@
-"""Failure detection: time to eject unhealthy servers, false alarms, and what calls gain by it.
+"""Failure detection: time to eject unhealthy servers, false alarms, and its benefit for calls.
 
-The modules in service run in virtual time, with and without the detector, on the same seeds (servers that
+The real modules run in virtual time, with and without the detector, on the same seeds (servers that
 accept no connection are avoided in both). On loopback sockets, a connection pool that learns how long its
 servers keep idle connections is compared with one that does not. `--curves` prints detection time against
 false alarms, also for other detectors (`benchmarks/detector_baselines.py`), and takes some minutes.
@@ -42,7 +42,7 @@
 
 
 class DisabledOutlierDetector(OutlierDetector):
-    """The state without outlier detection: only servers that accept no connection are avoided."""
+    """No outlier detection: only servers that accept no connection are avoided."""
 
     def is_degraded(self, health: EndpointHealth, now: float) -> bool:
         return False
@@ -64,7 +64,7 @@
 
 
 def ejection_times_ms(job: tuple[int, str]) -> list[float]:
-    """Return for each proxy that sends to the server the time until it ejects it; infinite: never."""
+    """Return the time until ejection (infinite: never) for each proxy that sends to the server."""
     fault_run = failing_servers.FaultSimulation(*job)
     fault_run.play()
     first = dict.fromkeys({proxy for _, proxy, name in fault_run.sends if name == "s0"}, math.inf)
@@ -154,7 +154,7 @@
         setting = Setting(10.0 / sharing, failing=failing, seconds=min(60.0 * sharing, 1200.0))
         print_progress(
             f"{sharing} proxies share each server, which gets 10 calls a second; {failing:.0%} fail, "
-            "of the sick one's 9 in 10"
+            "at the unhealthy one 9 in 10"
         )
         for name, (_, thresholds) in CANDIDATES.items():
             for threshold in thresholds:
@@ -219,12 +219,13 @@
         }
     for index, case in enumerate(WEAK):
         print_progress(
-            f"{case}: {fmean(served_with[index :: len(WEAK)]):.3f} of charges served, blind "
+            f"{case}: {fmean(served_with[index :: len(WEAK)]):.3f} of charges served, without detection "
             f"{fmean(served_without[index :: len(WEAK)]):.3f}"
         )
     print_progress(
-        f"{lost} of {calls} calls met a forgotten connection, {lost_before} of {calls_before} before; "
-        f"{false_alarms:.0f} false alarms in {hours:.0f} server-hours; {2 * schedules} schedules; "
+        f"{lost} of {calls} calls used a dropped connection, {lost_before} of {calls_before} "
+        f"without learning; {false_alarms:.0f} false alarms in {hours:.0f} server-hours; "
+        f"{2 * schedules} schedules; "
         f"{time.monotonic() - started_at:.0f} s"
     )
     report(figures)
--- a/benchmarks/detector_baselines.py
+++ b/benchmarks/detector_baselines.py
@@ -1,6 +1,7 @@
-"""Failure detectors of the literature, as simple as their descriptions, for comparison with the balancer's.
+"""Simple forms of failure detectors from the literature, for comparison with the balancer's.
 
-The input is a stream of one balancer's ended calls: (seconds, server, failed). A detector names servers.
+The input is a stream of one balancer's ended calls: (seconds, server, failed). A detector names
+unhealthy servers.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
     def ended(self, server: int, failed: bool, at_s: float) -> None:
         now = at_s * 1000.0
-        self._servers[server].on_sent(1e9, now)  # no detection of silence: the streams have none
+        self._servers[server].on_sent(1e9, now)  # disables the detection of silence: the streams contain none
         outcome = Outcome.RESET if failed else Outcome.OK
         self._detector.on_attempt_ended(self._servers[server], outcome, 1e9, 0.0, now)
 
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -1,7 +1,7 @@
 """HTTP exchanges: is a wrong response given, or a call sent twice, whatever a peer does on any hop?
 
-It plays every cell of the tables in `cometdoor/host/exchange/` against the code with a scripted peer, plans
-of backends, peers and clients that `hypothesis` generates, and planted defects that must be found
+It checks the code against every cell of the tables in `cometdoor/host/exchange/` with a scripted peer, runs
+plans of backends, peers and clients that `hypothesis` generates, and checks that planted defects are found
 (`simulation/exchange/`).
 
     python -m benchmarks.exchange [--quick] [--examples COUNT]
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """Counts of what was played."""
+    """Counts of checks and violations."""
 
     exchange_table_cells: int  # possible ones
     exchange_table_impossible: int  # marked as impossible in the table
@@ -35,7 +35,7 @@
 
 
 def measure(examples: int = QUICK_EXAMPLES) -> Figures:
-    """Play everything, hop by hop; print every violation."""
+    """Run all checks, hop by hop; print every violation."""
     results = play()
     for text in results.violations:
         print_progress(f"WRONG: {text}")
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -110,7 +110,7 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--quick", action="store_true", help="the same; it is quick")
+    parser.add_argument("--quick", action="store_true", help="no effect: the full run is quick")
     parser.parse_args()
     print_progress(
         f"fleets of {', '.join(map(str, SIZES))} processes; a configuration of {len(make_body(1))} bytes"
--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -1,4 +1,4 @@
-"""Processor time of a request at both of its proxies, beside another version of this project.
+"""Processor time of a request at both of its proxies, compared with another version of this project.
 
 Four data planes and three control planes run as real processes on loopback (`standins/mesh.py`), under a
 closed loop of requests at all data planes. The figure is the processor time of the data planes per request.
--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -1,8 +1,8 @@
-"""Keyed operations and the retry budget: does a key run once, does the budget hold, and what do they cost?
+"""Keyed operations and the retry budget: is a key executed once, is the budget respected, and at what cost?
 
 Keyed operations over proxies and a replica group that fail (`simulation/keyed_operations.py`); the budget of
-one service over 9 to 1,000 proxies (`simulation/retry_budget.py`); three ways to order a claim, over an empty
-round trip to a member (`simulation/claim_protocols.py`). Times are virtual.
+one service over 9 to 1,000 proxies (`simulation/retry_budget.py`); three protocols that replicate a claim,
+relative to an empty round trip to a member (`simulation/claim_protocols.py`). Times are virtual.
 
     python -m benchmarks.keys [--quick] [--schedules COUNT]
 """
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,8 +1,8 @@
 """Second losses: what does one cost after each kind of repair, and are membership changes correct?
 
-It plays histories of two losses with every kind of repair between them (`simulation/second_losses.py`), whose
+It runs histories of two losses with every kind of repair between them (`simulation/second_losses.py`), whose
 membership changes are checked against a sequential group (`simulation/membership_history.py`); searches and
-long random walks from stages in the middle of repairs; and planted defects that must be found
+long random walks from stages in the middle of repairs; and checks that planted defects are found
 (`simulation/planted_membership_defects.py`). Times are virtual.
 
     python -m benchmarks.membership [--quick] [--plays COUNT]
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Extent:
-    """How much a run plays."""
+    """Number of runs of each kind, and their size."""
 
     scenarios: int
     stage_depth: int  # of the search from each stage of a repair
@@ -69,7 +69,7 @@
 
 
 class RunningJobs:
-    """The benchmark's jobs, running in a pool of processes."""
+    """The benchmark's jobs, started in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
         self._extent = extent
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -32,8 +32,8 @@
 LATENCY_TARGET_S = 0.3
 SLOW_SHARE, SLOW_S = 0.01, 1.0
 
-LATE_VALUE = 0.3  # of a late response; 1 is that of one within its target
-EARLY_REJECTION_SHARE = 0.25  # of its latency target, within which a rejection counts as early
+LATE_VALUE = 0.3  # value of a late response; a response within its target counts 1
+EARLY_REJECTION_SHARE = 0.25  # of the latency target: a rejection within this time counts as early
 
 ClientResults = list[tuple[float, float, float]]  # per request: start, duration in seconds, value
 
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -1,18 +1,18 @@
 """What do planners improve for a fleet of forwarders, and what do they cost when they are dead or wrong?
 
-Two fleets of real processes use the same stand-in servers: one is configured with planners ("told"), the
-other without ("alone"). They get the same traffic in turn. Servers warm up, restart, slow down together and
-freeze. Planners are dead from the start, alive, killed in turn, and restarted without state.
+Two fleets of real processes use the same stand-in servers: one is configured with planners, the other
+without. They get the same traffic in turn. Servers warm up, restart, slow down together and freeze.
+Planners are dead from the start, alive, killed in turn, and restarted without state.
 
     avoid_s_*                  time until a server that is frozen for good gets at most a twentieth of its
                                former requests, for the rest of the phase; else the phase's length
     sick_share_*               share of all requests in that phase that were sent to it
-    cold_peak_over_budget      most requests to a server in slow start in a window, over the number that
-                               crashes it
+    cold_peak_over_budget      maximum number of requests to a server in slow start in a window, over the
+                               number that crashes it
     false_alarms               healthy servers that a planner found unhealthy, also under a shared slowdown
     p99_ratio_planners_dead    99th percentile of forwarders with dead planners, over those without planners
-    stand_ins_late_ms          most by which stand-in servers read messages late. Above the margin of rule 1
-                               (50 ms) the machine was too busy, and `rules_broken` is a consequence of that
+    stand_ins_late_ms          maximum time by which stand-in servers read messages late. Above the margin of
+                               rule 1 (50 ms) the machine was too busy, and `rules_broken` is a consequence
 """
 
 from __future__ import annotations
@@ -113,7 +113,7 @@
         self.addresses = await self.servers.start_servers("s", SERVERS, WORK_MS, slots=SLOTS, cold=SLOW_START)
         for name, address in self.addresses.items():
             self.discovery.publish(name, address)
-        with_planners = self.folder / "services"
+        services_path = self.folder / "services"
         for index in range(FORWARDERS):
             (self.folder / f"services{index}").write_text(services_file(self.discovery.host_port(), index))
             (self.folder / f"forwarder{index}").write_text(
@@ -131,15 +131,15 @@
                 f"{1000 * SLOW_START['window_s']}\n"
             )
         proxy_cores = available_cores()[3:8]
-        for name in ("told", "alone"):
+        for name in ("with_planners", "without_planners"):
             arguments = [
-                ("--planning", f"{self.folder}/forwarder{index}") if name == "told" else ()
+                ("--planning", f"{self.folder}/forwarder{index}") if name == "with_planners" else ()
                 for index in range(FORWARDERS)
             ]
             self.fleets[name] = list(
                 await asyncio.gather(
                     *(
-                        ProxyProcess(Path(f"{with_planners}{index}"), *arguments[index]).start(
+                        ProxyProcess(Path(f"{services_path}{index}"), *arguments[index]).start(
                             proxy_cores[index % len(proxy_cores)]
                         )
                         for index in range(FORWARDERS)
@@ -274,7 +274,7 @@
     )
     share = len(unhealthy) / sum(0.0 <= moment < seconds for moment, _ in sends)
     print_progress(
-        f"{fleet}: {name} stands still, avoided after {avoided:.2f} s, {share:.4f} of {len(sends)} sends; "
+        f"{fleet}: {name} is frozen, avoided after {avoided:.2f} s, {share:.4f} of {len(sends)} sends; "
         f"served {served(client_logs):.3f}"
     )
     return avoided, share
@@ -287,14 +287,18 @@
     by half from one second to the next in either fleet.
     """
     await testbed.servers.command("set", "s", behaviour={"slowdown_factor": 0.1})
-    client_logs: dict[str, list[ClientLog]] = {"told": [], "alone": []}
+    client_logs: dict[str, list[ClientLog]] = {"with_planners": [], "without_planners": []}
     for number in range(2 * rounds):
-        for fleet in ("told", "alone") if number % 2 else ("alone", "told"):
+        for fleet in (
+            ("with_planners", "without_planners") if number % 2 else ("without_planners", "with_planners")
+        ):
             client_logs[fleet] += await testbed.send_traffic(fleet, 0.7, 7000 + number)
     await testbed.servers.command("set", "s", behaviour={"slowdown_factor": 1.0})
     p99 = {fleet: p99_ms(client_logs[fleet]) for fleet in client_logs}
-    print_progress(f"planners dead: p99 {p99['told']:.2f} ms, never told of any {p99['alone']:.2f} ms")
-    return p99["told"] / p99["alone"]
+    print_progress(
+        f"planners dead: p99 {p99['with_planners']:.2f} ms, without planners {p99['without_planners']:.2f} ms"
+    )
+    return p99["with_planners"] / p99["without_planners"]
 
 
 async def measure_cold_start(testbed: Testbed, label: str, number: int, seconds: float) -> float:
@@ -305,10 +309,10 @@
         await asyncio.sleep(0.3)
         await testbed.restart(number)
 
-    client_logs, _ = await asyncio.gather(testbed.send_traffic("told", seconds), start())
+    client_logs, _ = await asyncio.gather(testbed.send_traffic("with_planners", seconds), start())
     peak = await testbed.peak()
     print_progress(
-        f"{label}: s-{number} starts anew, gets {peak:.2f} of what pushes it over; served "
+        f"{label}: s-{number} restarts, peak load {peak:.2f} of what crashes it; served "
         f"{served(client_logs):.3f}"
     )
     return peak
@@ -334,18 +338,20 @@
         try:
             await testbed.start()
             print_progress(f"{2 * FORWARDERS} forwarders up after {time.monotonic() - started_at:.1f} s")
-            for fleet in ("told", "alone"):
+            for fleet in ("with_planners", "without_planners"):
                 await testbed.send_traffic(fleet, 1.0)
             ratio = await measure_dead_planners(testbed, rounds)
             peaks = [await measure_cold_start(testbed, "planners dead from the start", 1, 1.5 * pause_s)]
-            avoid_s_without, share_without = await measure_frozen_server(testbed, "alone", 0, phase_s)
+            avoid_s_without, share_without = await measure_frozen_server(
+                testbed, "without_planners", 0, phase_s
+            )
             for number in range(PLANNERS):
                 await testbed.start_planner(number)
             await testbed.send_traffic(
-                "told", 3.2
+                "with_planners", 3.2
             )  # planners issue leases once those of a former incarnation have expired
             slow = testbed.servers.command("set", "s", behaviour={"slowdown_factor": 2.5})
-            await asyncio.gather(testbed.send_traffic("told", 2.0 * pause_s), slow)
+            await asyncio.gather(testbed.send_traffic("with_planners", 2.0 * pause_s), slow)
             await testbed.servers.command("set", "s", behaviour={"slowdown_factor": 1.0})
             peaks.append(await measure_cold_start(testbed, "all planners live", 2, 2.0 * pause_s))
             status = await testbed.status(0)
@@ -358,10 +364,10 @@
                     )
                 )
                 await testbed.start_planner(number)
-            await testbed.send_traffic("told", 1.0)
-            avoid_s_with, share_with = await measure_frozen_server(testbed, "told", 0, phase_s)
+            await testbed.send_traffic("with_planners", 1.0)
+            avoid_s_with, share_with = await measure_frozen_server(testbed, "with_planners", 0, phase_s)
             testbed.discovery.publish("s-7", testbed.addresses["s-7"], "terminating")
-            await testbed.send_traffic("told", 1.0)
+            await testbed.send_traffic("with_planners", 1.0)
             drained = {"s-7": testbed.discovery.notified_at["s-7", "terminating"]}
             request_log = await testbed.servers.request_log("s")
             late_ms = (await testbed.servers.command("late_ms", "s"))["late_ms"]
--- a/benchmarks/planning_cost.py
+++ b/benchmarks/planning_cost.py
@@ -21,7 +21,7 @@
 
 SERVERS = 300
 CALLS_PER_REPORT = 20  # of each forwarder
-REPORTS_PER_FORWARDER = 6  # the last three are measured; the first can't prove their age yet
+REPORTS_PER_FORWARDER = 6  # the last three are measured; the first ones cannot prove their age yet
 KEYS = KeyRing({1: b"k" * 32}, 1)
 
 
--- a/benchmarks/planning_simulation.py
+++ b/benchmarks/planning_simulation.py
@@ -1,6 +1,6 @@
 """Planning in virtual time, over many seeds: can planners or their messages cause a violation of a rule?
 
-It plays thousands of small fleets, and some of 1,000 forwarders, 3 planners and 300 servers, with each case
+It runs thousands of small fleets, and some of 1,000 forwarders, 3 planners and 300 servers, with each case
 in turn (`simulation/planning.py` lists what is checked at every step). The figures of the frozen server come
 from pairs of fleets with the same seed, with planners and without.
 
@@ -77,7 +77,7 @@
         if of_case:
             print_progress(
                 f"  {case}: cold peak {max(result.slow_start_peak for result in of_case):.2f}, alarms "
-                f"{sum(result.false_alarms for result in of_case)}, sends lent "
+                f"{sum(result.false_alarms for result in of_case)}, sends leased "
                 f"{sum(result.leases for result in of_case)}"
             )
     report(
--- a/benchmarks/replicas.py
+++ b/benchmarks/replicas.py
@@ -1,7 +1,7 @@
-"""Replica group: does it keep what it acknowledged, and how soon does it have a new leader?
+"""Replica group: does it retain what it acknowledged, and how soon does it have a new leader?
 
 It explores every state of three members to a depth, takes long random walks and looks for planted defects
-(`simulation/model_checker.py`, `simulation/planted_defects.py`). It plays thousands of schedules with losses
+(`simulation/model_checker.py`, `simulation/planted_defects.py`). It runs thousands of schedules with losses
 (`simulation/group_schedules.py`), checks histories of clients for linearizability
 (`simulation/linearizability.py`), and loses power at every block of a replica's file. Times are virtual. A
 state that is reached by two first steps counts twice, since each process explores from its own first step.
@@ -40,7 +40,7 @@
 LOAD_DURATION_S = 4.0
 
 
-CountAndViolation = tuple[int, str]  # how many, and the violation; empty: none
+CountAndViolation = tuple[int, str]  # count, and the violation; empty: none
 
 
 def states(job: tuple[int, int]) -> CountAndViolation:
@@ -120,7 +120,10 @@
 
 
 def power_cuts() -> tuple[int, int]:
-    """A member's file cut at each block, at each third also inside: tried, and found as far as synced."""
+    """Truncate a member's file at each block, and also inside every third one.
+
+    Return the number of attempts, and of those in which everything that was synced is recovered.
+    """
     with TemporaryDirectory() as name:
         folder = Path(name)
         log_file = WriteAheadLog(folder)
@@ -189,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Extent:
-    """How much a run plays."""
+    """Number of runs of each kind, and their size."""
 
     depth: int  # of the search with three members
     five_depth: int  # the same with five
@@ -204,7 +207,7 @@
 
 
 class RunningJobs:
-    """The benchmark's jobs, running in a pool of processes."""
+    """The benchmark's jobs, started in a pool of processes."""
 
     def __init__(self, pool: Pool, extent: Extent) -> None:
         self._extent = extent
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -1,4 +1,4 @@
-"""Isolation of services: does a fault of one reach another, and what do many services in one process cost?
+"""Isolation of services: does a fault of one affect another, and what do many services in one process cost?
 
 It compares the figures of service `b` while all servers of service `a` are frozen with those while they are
 not, in alternating rounds with the same arrivals; then the same with `b` under a closed loop. Then it
@@ -199,7 +199,7 @@
 
 
 class _RequestStream:
-    """Sends requests of one service at given times."""
+    """Encoded requests to the services in turn, for a closed loop."""
 
     def __init__(self, names: list[str]) -> None:
         self._names = itertools.cycle(names)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -21,12 +21,12 @@
 
 CLASSES = {"look": {"effect": "safe", "aim_ms": 500, "deadline_ms": 2000}}
 CONNECTIONS = (1, 32)
-MAX_SOCKETS = 8192  # many connections are open, since each rests for 50 ms after a response
+MAX_SOCKETS = 8192  # many connections are open, since each is unused for 50 ms after a response
 ROUTES = ("direct", "relay", "proxy")
 
 
 class Requests:
-    """A closed loop of requests at one target, and its rate."""
+    """Encoded requests with successive trace ids, for a closed loop."""
 
     def __init__(self) -> None:
         self._count = itertools.count()
