--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -77,22 +77,25 @@
         claim_costs = pool.map_async(claim_cost, list(PROTOCOLS), chunksize=1)
         pending_results = pool.map_async(play_keyed_schedule, range(schedules), chunksize=10)
         figures: dict[str, float | int] = {}
-        for name, one in zip(PROTOCOLS, claim_costs.get(), strict=True):
+        for name, result in zip(PROTOCOLS, claim_costs.get(), strict=True):
             figures |= {
-                f"{name}_ms_p50_over_empty": one.p50_ms / ROUND_TRIP_MS,
-                f"{name}_ms_p99_over_empty": one.p99_ms / ROUND_TRIP_MS,
-                f"{name}_syncs_per_claim": one.syncs_per_claim,
-                f"{name}_messages_per_claim": one.messages_per_claim,
-                f"{name}_loss_ms_p50": one.loss_p50_ms,
-                f"{name}_loss_ms_worst": one.loss_worst_ms,
+                f"{name}_ms_p50_over_empty": result.p50_ms / ROUND_TRIP_MS,
+                f"{name}_ms_p99_over_empty": result.p99_ms / ROUND_TRIP_MS,
+                f"{name}_syncs_per_claim": result.syncs_per_claim,
+                f"{name}_messages_per_claim": result.messages_per_claim,
+                f"{name}_loss_ms_p50": result.loss_p50_ms,
+                f"{name}_loss_ms_worst": result.loss_worst_ms,
             }
         one_third_needy, all_needy = needy.get()
         results = pending_results.get()
         violations = [text for *_, text in results if text]
         for text in violations[:5]:
             print_progress(f"BROKEN: {text}")
-        all_keys = sum(one[0] for one in results)
-        executions, answered_attempts = sum(one[1] for one in results), sum(one[2] for one in results)
+        all_keys = sum(result[0] for result in results)
+        executions, answered_attempts = (
+            sum(result[1] for result in results),
+            sum(result[2] for result in results),
+        )
         report(
             {
                 "schedules": schedules,
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -254,25 +254,25 @@
         for entry in request_log.entries
         if entry.request in sent_ids
     ]
-    fair_share = sum(-1.0 <= moment < 0.0 for moment, _ in sends) / SERVERS
-    unhealthy = [moment for moment, server in sends if server == name and 0.0 <= moment < seconds]
+    fair_share = sum(-1.0 <= sent_s < 0.0 for sent_s, _ in sends) / SERVERS
+    unhealthy = [sent_s for sent_s, server in sends if server == name and 0.0 <= sent_s < seconds]
     steps = [step / 20.0 for step in range(int(20 * (seconds - WINDOW_S)) + 1)]
     avoided = next(
         (
             step
             for step in steps
-            if sum(moment >= step for moment in unhealthy) <= AVOIDED_SHARE * fair_share * (seconds - step)
+            if sum(sent_s >= step for sent_s in unhealthy) <= AVOIDED_SHARE * fair_share * (seconds - step)
         ),
         seconds,
     )
     print_progress(
         f"{fleet}: sends to {name} by half seconds "
         + " ".join(
-            str(sum(step <= moment < step + 0.5 for moment, server in sends if server == name))
+            str(sum(step <= sent_s < step + 0.5 for sent_s, server in sends if server == name))
             for step in (-1.0, -0.5, *(step / 2.0 for step in range(int(2 * seconds))))
         )
     )
-    share = len(unhealthy) / sum(0.0 <= moment < seconds for moment, _ in sends)
+    share = len(unhealthy) / sum(0.0 <= sent_s < seconds for sent_s, _ in sends)
     print_progress(
         f"{fleet}: {name} is frozen, avoided after {avoided:.2f} s, {share:.4f} of {len(sends)} sends; "
         f"served {served(client_logs):.3f}"
--- a/standins/rules.py
+++ b/standins/rules.py
@@ -9,7 +9,7 @@
 from standins.request_log import RequestLog
 
 NETWORK_SLACK_S = 0.05  # the platform's tolerance for network delay and clock readings
-DRAIN_NOTICE_S = 0.25
+DRAIN_NOTICE_S = 0.25  # within which the proxy must stop sending after it was notified
 
 
 class RuleViolation(NamedTuple):
