--- a/benchmarks/closed_loop.py
+++ b/benchmarks/closed_loop.py
@@ -12,7 +12,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection that sends one request after the other."""
+    """A connection that sends successive requests."""
 
     def __init__(self, requests: Callable[[], bytes], times: list[float], failed: list[int]) -> None:
         self._requests = requests
@@ -106,7 +106,7 @@
 async def run_closed_loop(
     address: tuple[str, int], requests: Callable[[], bytes], connections: int, seconds: float
 ) -> tuple[float, Sequence[float], int]:
-    """One round."""
+    """Measure one round on new connections."""
     clients = await ClosedLoopClients(address, requests, connections).open()
     try:
         return await clients.measure_round(seconds)
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -1,4 +1,4 @@
-"""Cost of gossip to a process, and time until an update is everywhere, as the fleet grows.
+"""Cost of gossip to a process, and time until an update has reached all processes, as the fleet grows.
 
 `Directory` and `GossipServer` run over simulated connections (`simulation/gossip.py`). Times are virtual;
 bytes are those of frames. There are three phases. Calm: nothing changes. Apply: a configuration of 1,000
--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -37,7 +37,7 @@
         try:
             await mesh.start()
             if await mesh.configure(1, 0) != 200 or not await mesh.wait_ready():
-                raise SystemExit("the mesh did not come up")
+                raise SystemExit("the mesh did not become ready")
             await asyncio.sleep(1.0)
             pids = [mesh.processes[address].pid for address in mesh.planes]
             until = time.monotonic() + seconds
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -154,7 +154,7 @@
 async def measure_many_services(rounds: int) -> float:
     """Return the throughput of 64 services relative to one, with the same servers.
 
-    Many short rounds in turn: other load on the machine changes a single one by a third.
+    Many short rounds alternate: other load on the machine changes the rate of a single one by a third.
     """
     read_class = {"look": CLASSES["look"]}
     servers = await ServerProcess().start(available_cores()[2])
