--- a/cometdoor/balancing/admission.py
+++ b/cometdoor/balancing/admission.py
@@ -17,16 +17,16 @@
 VALUE_PRIORITY_SHARE = 0.3  # at full reserve, share of the limit that is closed to requests of value 0
 RESERVE_FROM_USAGE = 0.25  # usage above which capacity is reserved for valuable requests
 RESERVE_USAGE_RANGE = 0.2  # the reserve grows from zero to its maximum over this range of usage
-SERVICE_DECAY_MS = 30_000.0  # time constant of the classes' earned shares, which oscillated with 10 s
-VALUE_REFRESH_INTERVAL_MS = 100.0  # about five requests arrive in it at a busy balancer
+SERVICE_DECAY_MS = 30_000.0  # time constant of the classes' earned shares; with 10 s they oscillate
+VALUE_REFRESH_INTERVAL_MS = 100.0  # a busy balancer gets about five requests in this time
 WORST_CLASS_RANGE = 0.03  # classes whose earned share is about this close to the lowest count as worst-served
 LOW_VALUE_LIMIT_SHARE = 0.5  # share of the limit for requests above a quota or past their latency target
 QUOTA_BURST_MS = 5_000.0  # a tenant can accumulate its unused quota of this time
-LATENCY_TARGET_SHARE = 0.4  # desired mean latency / mean target; a higher ratio overloaded the servers
+LATENCY_TARGET_SHARE = 0.4  # desired mean latency / mean target; a higher ratio overloads the servers
 BURST_DEVIATIONS = 3.0  # bursts of random arrivals up to this many standard deviations are admitted
 OVERLOAD_USAGE = 0.7  # usage from which no burst is admitted
-BURST_USAGE_RANGE = 0.35  # below that, the admitted burst grows from zero to its maximum over this range
-OVERLOAD_LATENCY_SHARE = 0.25  # the same in an overload, by the lowest target: overloaded servers slow down
+BURST_USAGE_RANGE = 0.35  # below `OVERLOAD_USAGE`; the admitted burst grows to its maximum over this range
+OVERLOAD_LATENCY_SHARE = 0.25  # desired mean latency / lowest target in an overload, which slows servers
 CLIENT_TIMEOUT_MEMORY_MS = 2_000.0  # a first-tier balancer gets several first attempts per class and second
 CLIENT_TIMEOUT_TOLERANCE_MS = 50.0  # `remaining_ms` of equal client timeouts differs by the network's delay
 
--- a/cometdoor/balancing/attempts.py
+++ b/cometdoor/balancing/attempts.py
@@ -108,7 +108,7 @@
         """Return whether a hedge may be sent: always the first one in a window that has attempts.
 
         In a window without attempts, the ratio since the start decides.
-        Computed at each call: a ratio cached for seconds let bursts of hedges through.
+        Computed at each call: a ratio cached for seconds would let bursts of hedges through.
         """
         self._expire(now)
         hedges, attempts = (sum(row[column] for row in self._seconds) for column in (1, 2))
--- a/cometdoor/balancing/balancer.py
+++ b/cometdoor/balancing/balancer.py
@@ -266,8 +266,8 @@
         if not request.is_late:
             request.is_late = True
             self._hedge(request, now)
-        # Stop counting it as in flight: otherwise lost responses fill the limit. 17 of them led to 311
-        # rejected requests while endpoints were idle.
+        # No longer counted as in flight: otherwise lost responses fill the limit, and requests are rejected
+        # while endpoints are idle (17 lost responses caused 311 rejections).
         elif overdue_at(request) <= now and self._admission.target_usage.mean(0.0, 1.0, now) < OVERLOAD_USAGE:
             request.is_stalled = True
             self._admission.in_flight -= 1
@@ -281,7 +281,7 @@
                 # Counted as a failure: before the timeout, nothing else shows that an endpoint hangs.
                 attempt.endpoint.failures.add(1.0, now)
                 self._latency.failures.add(1.0, now)
-        # Only once, even if the gate opens later: late hedges overloaded the endpoints that still responded.
+        # Only once, even if the gate opens later: late hedges overload endpoints that still respond.
         if request.outstanding() == 1 and self._hedge_gate.is_open(now) and self._send_attempt(request, now):
             self._hedge_gate.on_hedge_sent(now)
             request.hedge_index = len(request.attempts) - 1
--- a/cometdoor/balancing/endpoint_selection.py
+++ b/cometdoor/balancing/endpoint_selection.py
@@ -26,9 +26,9 @@
 LOCAL_PREFERENCE = 6.0  # weight of a local endpoint over a remote one, without load reports
 MAX_LOCAL_PREFERENCE = 100.0  # weight of a local endpoint over a remote one, at a low reported utilization
 # Preference ends at the utilization 1 - `ZONE_HEADROOM` / sqrt(endpoints): the fewer endpoints, the earlier
-# queues form (square-root staffing). The queues of eight endpoints were full at a utilization of 0.9.
+# queues form (square-root staffing). The queues of eight endpoints are full at a utilization of 0.9.
 ZONE_HEADROOM = 0.5
-UTILIZATION_RANGE = 0.3  # below that, the preference grows from none to its maximum over this range
+UTILIZATION_RANGE = 0.3  # below that utilization, preference grows from none to its maximum over this range
 MIN_SUBSET_SIZE = 5  # endpoints: enough to compare each with its peers
 MIN_BALANCERS_PER_ENDPOINT = 3  # so that differences between balancers even out at each endpoint
 MIN_WEIGHT_SHARE = 0.02  # share of its turns that an endpoint keeps regardless of planners' advice
@@ -162,7 +162,7 @@
             endpoint.weight_share = 1.0 if math.isnan(share) else min(max(share, MIN_WEIGHT_SHARE), 1.0)
             if endpoint.weight_share != before and endpoint.is_ready and endpoint.subset_weight:
                 # The next turn was scheduled by the former weight. For a lower one the phase is random: else
-                # every balancer keeps one early turn; these were most of a frozen endpoint's requests.
+                # each balancer keeps one early turn; together these are most of a frozen endpoint's requests.
                 distance = 1.0 / self.effective_weight(endpoint, now)
                 if endpoint.weight_share < before:
                     turn = max(endpoint.next_turn, self.virtual_time + self._rng.random() * distance)
@@ -206,11 +206,11 @@
         return float(preference * remote.covered_share / local.covered_share)
 
     def _is_over_mean_load(self, endpoint: EndpointRecord) -> bool:
-        """Return whether it has more of this balancer's attempts in flight than the mean over all zones.
+        """Return whether the endpoint has more attempts from here in flight than the mean over all zones.
 
         With less than one attempt per endpoint any in flight is too many: frozen, slow or busy endpoints
         are skipped before a response or timeout shows it. The cost: the best endpoint gets too little where
-        endpoints differ much. With the mean of the local zone alone, one endpoint got a whole burst.
+        endpoints differ much. By the mean of the local zone alone, one endpoint would get a whole burst.
         """
         local, remote = self.local, self.remote
         endpoints = local.rotation_size + remote.rotation_size
--- a/cometdoor/balancing/outlier_detection.py
+++ b/cometdoor/balancing/outlier_detection.py
@@ -17,18 +17,18 @@
 
 OUTLIER_FAILURE_RATE = 0.8  # of an unhealthy endpoint; one with a lower rate gets fewer turns, no ejection
 PRIOR_FAILURE_RATE = 0.02  # of a healthy endpoint, until its peers have shown another rate
-PRIOR_OUTCOMES = 20.0  # weight of the prior, in outcomes; with 0, two random failures in a row ejected
+PRIOR_OUTCOMES = 20.0  # weight of the prior, in outcomes; with 0, two random failures in a row eject
 MIN_FAILURE_RATE = 0.01  # lower bound of the peers' failure rate
 MIN_PEER_RATIO = 1.5  # of an outlier's failure rate to its peers'; no outlier if peers fail two of three
 # Three failures in a row where two in a hundred are usual, or ten times the usual time without a response.
-# With 7, two failures in a row were enough: 1.4 false alarms per endpoint and hour at a request per second.
+# With 7, two failures in a row are enough: 1.4 false alarms per endpoint and hour at a request per second.
 EJECTION_NATS = 10.0
 CAUTION_NATS = 3.0  # from this evidence on an endpoint is degraded: it gets no requests that can't be retried
-CAUTION_DEVIATIONS = 2.0  # standard deviations, plus one failure; a fixed threshold degraded half of a fleet
-# Times between responses are assumed to be exponential until more responses are late than that implies: one
-# in fifty was late by ten times the usual time, and healthy endpoints were ejected.
+CAUTION_DEVIATIONS = 2.0  # standard deviations, plus one failure; a fixed threshold degrades half of a fleet
+# Times between responses are assumed to be exponential until more responses are late than that implies.
+# Otherwise healthy endpoints are ejected if one response in fifty takes ten times the usual time.
 PRIOR_RESPONSES, PRIOR_LATE_SHARE = 200.0, 0.00005
-PRIOR_TIMELY_RESPONSES = 5.0  # weight of the prior; small, so that a slowdown of all soon shows
+PRIOR_TIMELY_RESPONSES = 5.0  # weight of the prior; small, so that a slowdown of all endpoints soon shows
 MAX_MISSED_RESPONSES = 40.0
 MAX_OUTCOME_NATS = 15.0  # low enough that one successful trial ends an ejection, two or three a degradation
 RECENT_DECAY_MS = 2_000.0  # short, so that a fault that affects all endpoints at once ejects none
--- a/cometdoor/control/admin_api.py
+++ b/cometdoor/control/admin_api.py
@@ -2,7 +2,7 @@
 
 Every answer about the state requires contact with a majority of the present term: changes are answered from
 their applied entry, reads after a confirmed heartbeat round. A replica without contact redirects to a
-leader that it has just heard, or answers 503 at once.
+leader that it has just heard from, or answers 503 at once.
 """
 
 from __future__ import annotations
@@ -116,7 +116,7 @@
         handle: RequestHandler,
         deadline: float | None = None,
     ) -> None:
-        """Handle the call if this replica leads, or redirect it to a leader that was just heard.
+        """Handle the call if this replica leads, or redirect it to a leader that was just heard from.
 
         During an election the call waits until `deadline` (s, loop time), and the contact is evaluated again
         every `LEADER_POLL_INTERVAL_S`.
--- a/cometdoor/control/elections.py
+++ b/cometdoor/control/elections.py
@@ -15,7 +15,7 @@
 # An election starts after four to eight heartbeat intervals without a leader. Requests with idempotency keys
 # wait until there is a leader again.
 ELECTION_TIMEOUT_MIN_S, ELECTION_TIMEOUT_MAX_S = 0.4, 0.8
-# Used until this incarnation has heard a leader. After a power loss of the whole group there is no leader
+# Used until this incarnation has heard from a leader. After a power loss of the whole group there is none
 # and all changes wait, so the timeout is short. If there is a leader, the prevote is denied without effect.
 FIRST_ELECTION_TIMEOUT_MIN_S, FIRST_ELECTION_TIMEOUT_MAX_S = 0.06, 0.25
 # A learner starts an election after this time without a leader; 99 of 100 elections among voters are over
@@ -36,8 +36,8 @@
 
     def __init__(self, replica: ReplicaContext, now: float) -> None:
         self._replica = replica
-        self.leader_last_seen_at = -1e9  # negative: no leader was heard in this incarnation
-        self._leaderless_since = now  # when a leader was last heard, or this incarnation started
+        self.leader_last_seen_at = -1e9  # negative: not heard from a leader in this incarnation
+        self._leaderless_since = now  # when a leader was last heard from, or this incarnation started
         self._election_deadline = now + replica.rng.uniform(
             FIRST_ELECTION_TIMEOUT_MIN_S, FIRST_ELECTION_TIMEOUT_MAX_S
         )
--- a/cometdoor/control/leader_contact.py
+++ b/cometdoor/control/leader_contact.py
@@ -21,7 +21,7 @@
 # started an election. The age must stay below the second that the quarantine of retry budgets allows for a
 # deposed leader (`budget.lease.quarantine_s`).
 QUORUM_CONTACT_MAX_AGE_S = ELECTION_TIMEOUT_MAX_S
-# Callers are redirected only to a leader that was heard within this time; otherwise they wait a moment.
+# Callers are redirected only to a leader that was heard from within this time; otherwise they wait a moment.
 LEADER_CONTACT_MAX_AGE_S = 2 * HEARTBEAT_INTERVAL_S
 # A process whose timer is later than this was paused: messages that it reads then may be as old as the pause.
 PAUSE_DETECTION_S = 0.15
@@ -71,7 +71,7 @@
         self._last_tick_at = now
 
     def _has_recent_heartbeat(self, now: float) -> bool:
-        """Return whether a leader was heard recently, and the process was running all the time since.
+        """Return whether a leader was heard from recently, and the process was running all the time since.
 
         After a pause the first heartbeats read may have waited in a socket for as long as the pause was.
         """
@@ -98,8 +98,8 @@
     def contact_status(self, now: float, is_leader_connection_broken: bool = False) -> ContactStatus:
         """Return the contact at this moment.
 
-        `is_leader_connection_broken`: the connection on which the leader was last heard is closed. A leader
-        that is alive opens another one and is heard within a heartbeat interval.
+        `is_leader_connection_broken`: the connection of the leader's last message is closed. A leader that is
+        alive opens another one and sends a message within a heartbeat interval.
         """
         replica = self._replica
         no_contact_s = now - max(self._last_contact_at(), self._started_at)
--- a/cometdoor/control/leader_requests.py
+++ b/cometdoor/control/leader_requests.py
@@ -1,7 +1,7 @@
 """Requests of data planes to the leader: its address, claims on idempotency keys, retry budget leases.
 
 A replica that does not lead, or has no contact with a majority, rejects claims and lease requests. Its
-rejection names the leader from which it has just heard, if any.
+rejection names the leader that it has just heard from, if any.
 """
 
 from __future__ import annotations
--- a/cometdoor/control/membership_requester.py
+++ b/cometdoor/control/membership_requester.py
@@ -9,7 +9,7 @@
 from cometdoor.wire.consensus import JoinRequest, LeaveRequest
 
 JOIN_RETRY_INTERVAL_S = 0.3
-# A member that has heard no leader for this time may have been removed, so it asks to join again.
+# A member that has not heard from a leader for this time may have been removed, so it asks to join again.
 LEADERLESS_TIMEOUT_S = 1.5
 MAX_SEED_ADDRESSES = 12
 
--- a/cometdoor/control/pending_requests.py
+++ b/cometdoor/control/pending_requests.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadCompleted(Generic[ReadT]):
-    """A read that no longer waits; `is_current` tells whether the state may be returned."""
+    """A read that no longer waits; if `is_current`, the state may be returned."""
 
     caller: ReadT
     is_current: bool  # the state has everything acknowledged before the read
--- a/cometdoor/control/read_rounds.py
+++ b/cometdoor/control/read_rounds.py
@@ -58,7 +58,7 @@
         Parameters
         ----------
         is_answered : Callable[[int], bool]
-            Whether a majority has answered the round of that number or a later one.
+            Returns whether a majority has answered the round of that number or a later one.
         """
         while self._unconfirmed and is_answered(self._unconfirmed[0].number):
             self.confirmed_at = self._unconfirmed.popleft().started_at
--- a/cometdoor/control/rebuild.py
+++ b/cometdoor/control/rebuild.py
@@ -3,9 +3,9 @@
 Changes that a majority had acknowledged may be on lost disks alone; they can't be recovered. Of the
 remaining disks the one with the most up-to-date log is used (highest term of the last entry, then length:
 the rule by which voters compare logs). All its entries are kept: one that is not known to be committed may
-have been acknowledged, and losing it would be worse than keeping it. Lost claims can't be told from keys
-that were never claimed, so the new group accepts no claim until the window in which they could matter has
-passed on the new group's clock.
+have been acknowledged, and losing it would be worse than keeping it. Lost claims can't be distinguished from
+keys that were never claimed, so the new group accepts no claim until the window in which they could matter
+has passed on the new group's clock.
 """
 
 from __future__ import annotations
--- a/cometdoor/control/replica.py
+++ b/cometdoor/control/replica.py
@@ -170,7 +170,7 @@
 
     @property
     def is_transferring_leadership(self) -> bool:
-        """Whether a transfer was started recently; no changes are accepted meanwhile."""
+        """True while a transfer that was started recently may be under way; no changes are accepted then."""
         return self.now - self._transfer_started_at <= LEADERSHIP_TRANSFER_TIMEOUT_S
 
     def _name_successor(self) -> None:
@@ -196,7 +196,7 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether this replica is the leader and has committed everything of its predecessors."""
+        """True if this replica is the leader and has committed everything of its predecessors."""
         return self.role is Role.LEADER and self.committed >= self._first_index_of_term
 
     def may_accept(self) -> bool:
--- a/cometdoor/control/replica_server.py
+++ b/cometdoor/control/replica_server.py
@@ -53,7 +53,7 @@
 READ_TIMEOUT_S = 0.8  # a read that no majority has confirmed by then is abandoned
 log = structlog.get_logger()
 
-OnReadConfirmed = Callable[[bool], None]  # whether the state has everything acknowledged before the call
+OnReadConfirmed = Callable[[bool], None]  # True: the state has everything acknowledged before the call
 # Messages among the replicas of the group; others are requests to the leader, or not for the control plane.
 GROUP_MESSAGES = (
     RequestVote,
@@ -91,7 +91,7 @@
     seeds : list[str]
         Internal addresses of members.
     bootstraps : bool
-        Whether to create the group if the disk is empty.
+        True if this replica creates the group when its disk is empty.
     sizing : Sizing
         Losses that the group must survive.
 
@@ -123,7 +123,7 @@
         durable_state, is_new = load_durable_state(self.log_file)
         self.replica = self._restore_replica(durable_state, me, sizing)
         self._contact_monitor = LeaderContactMonitor(self.replica, loop.time())
-        self._leader_connection: PeerConnection | None = None  # the one on which the leader was last heard
+        self._leader_connection: PeerConnection | None = None  # that of the leader's last message
         self._pending_requests = PendingRequests[OnApplied, OnReadConfirmed]()
         self._leader_requests = LeaderRequests(self.replica, self.contact_status, self._propose_as_leader)
         self._membership_requester = MembershipRequester(self.replica, seeds)
@@ -172,7 +172,7 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether this replica leads and its state machine has everything that is committed."""
+        """True if this replica leads and its state machine has everything that is committed."""
         return self.replica.is_leading and self.replica.applied >= self.replica.committed
 
     def contact_status(self) -> ContactStatus:
--- a/cometdoor/control/replica_state.py
+++ b/cometdoor/control/replica_state.py
@@ -143,12 +143,12 @@
     @property
     @abstractmethod
     def is_leading(self) -> bool:
-        """Whether this replica is the leader and has committed an entry of its own term."""
+        """True if this replica is the leader and has committed an entry of its own term."""
 
     @property
     @abstractmethod
     def is_transferring_leadership(self) -> bool:
-        """Whether a leadership transfer is under way; no changes are accepted meanwhile."""
+        """True while a leadership transfer is under way; no changes are accepted then."""
 
     @abstractmethod
     def become_leader(self) -> None:
--- a/cometdoor/control/sizing.py
+++ b/cometdoor/control/sizing.py
@@ -19,7 +19,7 @@
 
     @property
     def initial_voters(self) -> int:
-        """Number of voters from which on the first change is accepted."""
+        """Number of voters that are required before the first change is accepted."""
         return max(2 * self.fault_tolerance + 1, min(3, self.known_machines))
 
     @property
--- a/cometdoor/control/snapshots.py
+++ b/cometdoor/control/snapshots.py
@@ -24,7 +24,7 @@
 from cometdoor.wire.consensus import InstallSnapshot
 from cometdoor.wire.log_entries import Member
 
-# Added to the resend timeout of a snapshot that is not sent in chunks, because it is large.
+# Added to the resend timeout of a snapshot that is sent as one message, since that message may be large.
 SNAPSHOT_RESEND_EXTRA_S = 4 * APPEND_RESEND_TIMEOUT_S
 # A new file is started once the bytes written after the current file's first batch exceed both limits: an
 # absolute one, and a multiple of that batch, since each new file contains the whole snapshot again. With 8 MB
--- a/cometdoor/control/state_machine.py
+++ b/cometdoor/control/state_machine.py
@@ -92,7 +92,7 @@
 
     @property
     def is_claiming_suspended(self) -> bool:
-        """Whether new claims are rejected after a rebuild of the group."""
+        """True while new claims are rejected after a rebuild of the group."""
         return self.now_ms < self.claims_suspended_until_ms
 
     def suspend_claims(self) -> None:
--- a/cometdoor/dataplane/adaptive_throttling.py
+++ b/cometdoor/dataplane/adaptive_throttling.py
@@ -10,7 +10,7 @@
 
 Admission by a multiple of the accepted requests (Site Reliability Engineering, ch. 21, "client-side
 throttling") recovers too slowly: with a factor small enough to avoid wasted work it takes tens of seconds to
-admit all requests again, which cost an overloaded day a tenth of its value.
+admit all requests again, which costs an overloaded day a tenth of its value.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 WINDOW_MS = 500.0  # length of a window, and interval between adjustments of the admitted share
 # Number of windows that are evaluated: about a dozen executions of a busy class at one proxy. With windows of
-# 3 s in total, all requests were retried 3 s later.
+# 3 s in total, all requests are retried 3 s later.
 WINDOW_COUNT = 3
-# A window counts for at most this many requests. Without the limit, a surge outweighed the few requests that
-# were admitted, and all served, in the ten seconds after it, and more and more requests were throttled.
+# A window counts for at most this many requests. Without the limit, a surge outweighs the few requests that
+# are admitted, and all served, in the ten seconds after it, and more and more requests are throttled.
 MAX_WINDOW_WEIGHT = 16.0
 DECREASE_BELOW_SUCCESS_RATE = 0.75  # the admitted share falls below this success rate
 INCREASE_ABOVE_SUCCESS_RATE = 0.85  # the admitted share grows above this success rate
@@ -116,7 +116,7 @@
         """Return the mean size of a request group, without the requests that coincide by chance.
 
         Without this correction a surge is mistaken for the calls of one execution. Inbound proxies value the
-        requests of large groups less, so the whole surge was shed and retried, which made it worse.
+        requests of large groups less, so they would shed the whole surge, and its retries make it worse.
         """
         return 1.0 + max(self._excess_joins.mean(0.0, PRIOR_COUNT, now), 0.0)
 
--- a/cometdoor/dataplane/slots.py
+++ b/cometdoor/dataplane/slots.py
@@ -26,7 +26,7 @@
 MAX_SHED_GROUPS = 64  # shed groups that are remembered; requests of a group arrive within milliseconds
 URGENT_PRIORITY = 1  # requests of this or a higher priority (0 is the highest) have twice the value
 # Weights of the total value and of the worst-served kind of requests, as in the users' deployments. With the
-# value as the only criterion, hardly any download was served during a long shortage of capacity.
+# value as the only criterion, hardly any download is served during a long shortage of capacity.
 TOTAL_VALUE_WEIGHT, WORST_CLASS_WEIGHT = 0.5, 0.15
 
 
--- a/cometdoor/keys/operations.py
+++ b/cometdoor/keys/operations.py
@@ -1,7 +1,7 @@
 """Operations of idempotency keys at one proxy: each key's request is executed at most once. No I/O.
 
 A claim on a key is on disk at a majority of the control plane before the request is sent to a backend. A
-repeated attempt at any proxy gets the response of the first execution, or an error that tells whether the
+repeated attempt at any proxy gets the response of the first execution, or an error that states whether the
 request may have been executed. An operation that was never executed may be executed under the same claim by
 the next attempt here, or by another proxy with a claim that supersedes this one.
 
--- a/cometdoor/wire/peer_connection.py
+++ b/cometdoor/wire/peer_connection.py
@@ -43,7 +43,7 @@
     reason : str
         What happened, for the log.
     may_have_arrived : bool
-        Whether the peer may have received the message. A call that is not idempotent may be retried only if
+        True if the peer may have received the message. A call that is not idempotent may be retried only if
         this is False.
     """
 
