--- a/cometdoor/balancing/attempts.py
+++ b/cometdoor/balancing/attempts.py
@@ -32,8 +32,8 @@
 def overdue_at(request: Request) -> float:
     """Return the time after which a response to an attempt in flight is unlikely; infinite without one."""
     pending = (attempt for attempt in request.attempts if not attempt.has_ended)
-    due = (attempt.sent_at + OVERDUE_LATENCY_FACTOR * attempt.expected_ms for attempt in pending)
-    return max(due, default=math.inf)
+    due_times = (attempt.sent_at + OVERDUE_LATENCY_FACTOR * attempt.expected_ms for attempt in pending)
+    return max(due_times, default=math.inf)
 
 
 def hedge_delay_ms(request: Request, now: float) -> float:
--- a/cometdoor/balancing/balancer.py
+++ b/cometdoor/balancing/balancer.py
@@ -272,8 +272,8 @@
             request.is_stalled = True
             self._admission.in_flight -= 1
             return
-        due = max(overdue_at(request), now + OVERDUE_CHECK_SHARE * request.cls.latency_target_ms)
-        request.timer_token = self._set_timer(request.id, due - now) if due < request.abandon_at else 0
+        due_at = max(overdue_at(request), now + OVERDUE_CHECK_SHARE * request.cls.latency_target_ms)
+        request.timer_token = self._set_timer(request.id, due_at - now) if due_at < request.abandon_at else 0
 
     def _hedge(self, request: Request, now: float) -> None:
         for attempt in request.attempts:
--- a/cometdoor/balancing/endpoint_selection.py
+++ b/cometdoor/balancing/endpoint_selection.py
@@ -79,8 +79,8 @@
 
     def _update_endpoint(self, entry: api.Endpoint) -> None:
         endpoint = self.endpoints.get(entry.name)
-        known = endpoint.entry if endpoint else entry
-        is_new = (entry.started_at, entry.zone) != (known.started_at, known.zone)
+        previous_entry = endpoint.entry if endpoint else entry
+        is_new = (entry.started_at, entry.zone) != (previous_entry.started_at, previous_entry.zone)
         if entry.state is EndpointState.REMOVED or is_new:
             self._remove(entry.name)  # observations of the former process don't apply to the new one
             endpoint = None
--- a/cometdoor/balancing/simulator_adapter.py
+++ b/cometdoor/balancing/simulator_adapter.py
@@ -79,8 +79,8 @@
 def read_budget(rules: dict[str, Any]) -> api.RetryBudget | None:
     """Decode the retry budget; return None if the rules give none."""
     keys = {"extra_floor": "floor", "extra_per_request": "per_request", "ratio_span_ms": "window_ms"}
-    given = {name: rules[key] for key, name in keys.items() if rules.get(key) is not None}
-    return api.RetryBudget(**given) if given.keys() & {"floor", "per_request"} else None
+    arguments = {name: rules[key] for key, name in keys.items() if rules.get(key) is not None}
+    return api.RetryBudget(**arguments) if arguments.keys() & {"floor", "per_request"} else None
 
 
 def read_settings(info: dict[str, Any]) -> api.Settings:
@@ -137,13 +137,13 @@
 
 def read_outcome(values: Values) -> api.Event:
     """Decode the event "outcome"."""
-    request, server, attempt, outcome, final, latency_ms, load = values[1:8]
+    request, server, attempt, outcome, is_final, latency_ms, load = values[1:8]
     return api.AttemptEnded(
         request,
         int(attempt),
         server,
         OUTCOMES[outcome],
-        bool(final),
+        bool(is_final),
         float(latency_ms or 0.0),
         read_load(load),
     )
@@ -163,13 +163,13 @@
 }
 
 ACTION_ENCODERS: dict[type[Any], Callable[[Any], Values]] = {
-    api.Send: lambda a: ["route", a.request, a.server, a.timeout_ms],
-    api.Cancel: lambda a: ["cancel", a.request, a.attempt],
-    api.Reject: lambda a: ["bounce", a.request, a.retry_after_ms],
-    api.Fail: lambda a: ["respond_error", a.request],
-    api.SetTimer: lambda a: ["set_timer", a.token, a.after_ms],
-    api.CloseIdleConnections: lambda a: ["hang_up", a.server],
-    api.WatchEndpoints: lambda a: ["subscribe", True],
+    api.Send: lambda action: ["route", action.request, action.server, action.timeout_ms],
+    api.Cancel: lambda action: ["cancel", action.request, action.attempt],
+    api.Reject: lambda action: ["bounce", action.request, action.retry_after_ms],
+    api.Fail: lambda action: ["respond_error", action.request],
+    api.SetTimer: lambda action: ["set_timer", action.token, action.after_ms],
+    api.CloseIdleConnections: lambda action: ["hang_up", action.server],
+    api.WatchEndpoints: lambda action: ["subscribe", True],
 }
 
 
--- a/cometdoor/control/chunked_transfer.py
+++ b/cometdoor/control/chunked_transfer.py
@@ -105,9 +105,10 @@
         other.__dict__.update(self.__dict__)
         other._replica = replica
         other._outgoing = {
-            id: replace(one, chunk_sent_at=one.chunk_sent_at.copy()) for id, one in self._outgoing.items()
+            id: replace(state, chunk_sent_at=state.chunk_sent_at.copy())
+            for id, state in self._outgoing.items()
         }
-        other._windows = {id: replace(one) for id, one in self._windows.items()}
+        other._windows = {id: replace(state) for id, state in self._windows.items()}
         other._accepts_chunks = self._accepts_chunks.copy()
         if self._incoming is not None:
             other._incoming = replace(self._incoming, data=self._incoming.data.copy())
@@ -140,7 +141,7 @@
 
     def is_sending_snapshot(self) -> bool:
         """Return whether a snapshot is being sent to any follower."""
-        return any(one.payload.is_snapshot for one in self._outgoing.values())
+        return any(state.payload.is_snapshot for state in self._outgoing.values())
 
     def start_transfer(self, member: Member, payload: TransferPayload) -> None:
         """Start sending a payload to a member; it replaces a transfer under way."""
--- a/cometdoor/control/membership_requester.py
+++ b/cometdoor/control/membership_requester.py
@@ -36,8 +36,8 @@
 
     def update_seeds(self, addresses: list[str]) -> None:
         """Add internal addresses of control planes; the oldest ones beyond a limit are dropped."""
-        known = dict.fromkeys([*self._seed_addresses, *addresses])
-        self._seed_addresses = list(known)[-MAX_SEED_ADDRESSES:]
+        known_addresses = dict.fromkeys([*self._seed_addresses, *addresses])
+        self._seed_addresses = list(known_addresses)[-MAX_SEED_ADDRESSES:]
 
     def next_request(self, now: float) -> MembershipRequest | None:
         """Return the request that is due now, if any."""
@@ -53,5 +53,7 @@
             message = JoinRequest(me, supports_learners=True)
         else:
             return None
-        known = dict.fromkeys([*self._seed_addresses, *(member.address for member in replica.members)])
-        return MembershipRequest(message, [address for address in known if address != me.address])
+        known_addresses = dict.fromkeys(
+            [*self._seed_addresses, *(member.address for member in replica.members)]
+        )
+        return MembershipRequest(message, [address for address in known_addresses if address != me.address])
--- a/cometdoor/control/replication.py
+++ b/cometdoor/control/replication.py
@@ -69,7 +69,7 @@
         """Return whether a majority, with this leader, answered within `CHECK_QUORUM_TIMEOUT_S`."""
         replica = self._replica
         responsive = sum(
-            replica.now - one.last_seen_at < CHECK_QUORUM_TIMEOUT_S for one in replica.voter_progress()
+            replica.now - item.last_seen_at < CHECK_QUORUM_TIMEOUT_S for item in replica.voter_progress()
         )
         return responsive + replica.is_voter(replica.me.id) >= replica.majority()
 
@@ -232,7 +232,7 @@
     def _is_round_answered(self, round: int) -> bool:
         """Return whether a majority has answered that round or a later one."""
         replica = self._replica
-        responsive = sum(one.round >= round for one in replica.voter_progress()) + replica.is_voter(
+        responsive = sum(item.round >= round for item in replica.voter_progress()) + replica.is_voter(
             replica.me.id
         )
         return responsive >= replica.majority()
@@ -276,7 +276,7 @@
     def _store_new_entries(self, entries: list[LogEntry]) -> None:
         replica, log = self._replica, self._replica.log
         first_new = next(
-            (position for position, one in enumerate(entries) if log.term_at(one.index) != one.term), None
+            (position for position, item in enumerate(entries) if log.term_at(item.index) != item.term), None
         )
         if first_new is None:
             return
--- a/cometdoor/dataplane/keyed_requests.py
+++ b/cometdoor/dataplane/keyed_requests.py
@@ -143,8 +143,8 @@
 
     def _query_owner(self, action: QueryOwner) -> None:
         def on_reply(reply: Message | PeerError) -> None:
-            known = reply if isinstance(reply, OperationReply) else None
-            self.carry_out(self.operations.on_owner_reply(action.key, action.claim_id, known))
+            operation_reply = reply if isinstance(reply, OperationReply) else None
+            self.carry_out(self.operations.on_owner_reply(action.key, action.claim_id, operation_reply))
 
         if action.owner == self._internal_address:
             # An earlier incarnation of this proxy claimed the key, and the outcome was lost when it ended.
