--- a/cometdoor/balancing/endpoint_selection.py
+++ b/cometdoor/balancing/endpoint_selection.py
@@ -131,13 +131,13 @@
         min_share = max(MIN_SUBSET_SIZE / max(len(ring), 1), MIN_BALANCERS_PER_ENDPOINT / balancers)
         subset_length = total * min(1.0, self._subset_scale * min_share)
         start = total * (self._settings.position * GOLDEN_RATIO_FRACTION % 1.0)
-        at = 0.0
+        offset = 0.0
         for endpoint, weight in zip(ring, weights, strict=True):
-            before, end = endpoint.subset_weight, at + weight
+            before, end = endpoint.subset_weight, offset + weight
             # The arc may run past the ring's end and continue at its beginning.
-            wrapped = max(0.0, min(end, start + subset_length - total) - at)
-            endpoint.subset_weight = max(0.0, min(end, start + subset_length) - max(at, start)) + wrapped
-            at = end
+            wrapped = max(0.0, min(end, start + subset_length - total) - offset)
+            endpoint.subset_weight = max(0.0, min(end, start + subset_length) - max(offset, start)) + wrapped
+            offset = end
             if endpoint.subset_weight and not before:
                 # A random phase: otherwise all balancers would send to a new endpoint at the same time.
                 distance = self._rng.random() / self.effective_weight(endpoint, now)
--- a/cometdoor/balancing/outlier_detection.py
+++ b/cometdoor/balancing/outlier_detection.py
@@ -68,17 +68,17 @@
     _updated_at: float = 0.0
 
     def nats(self, now: float, weight: float = 1.0) -> float:
-        """Return all evidence against it; each missed response counts for `weight`."""
+        """Return all evidence against the endpoint; each missed response counts for `weight`."""
         self._advance(now)
         return self.outcome_nats + weight * self._missed
 
     def missed_responses(self, now: float) -> float:
-        """Return how many responses were expected since its last one."""
+        """Return how many responses were expected since the endpoint's last one."""
         self._advance(now)
         return self._missed
 
     def has_attempt_in_flight(self) -> bool:
-        """Return whether an attempt is in flight there."""
+        """Return whether an attempt is in flight at the endpoint."""
         return self._response_rate > 1e-9
 
     def on_sent(self, expected_ms: float, now: float) -> None:
@@ -118,7 +118,7 @@
         self.next_trial_at = now + self.ejection_ms * jitter
 
     def on_response(self, is_trial: bool, now: float) -> None:
-        """Reinstate it after a success."""
+        """Reinstate the endpoint after a success."""
         if is_trial:
             self.outcome_nats /= 2.0
         if self._is_unreachable:
@@ -204,7 +204,7 @@
         return max(rate, self._recent_outcomes.mean_without(health.recent_outcomes, prior, recent_prior, now))
 
     def _is_outlier(self, health: EndpointHealth, now: float) -> bool:
-        """Return whether there is enough evidence, and its peers are still better at present.
+        """Return whether there is enough evidence against the endpoint, and its peers are still better now.
 
         Without the comparison, the first to fail would stay ejected when all fail. The cost: a second fault,
         one that affects all, reinstates the endpoints ejected for the first one.
@@ -233,12 +233,12 @@
         self._ejected = ejected
 
     def nats(self, health: EndpointHealth, now: float) -> float:
-        """Return the evidence against it, in nats; missed responses count less the more usual they are."""
+        """Return the nats against an endpoint; missed responses count less the more usual they are."""
         late = self._late_responses.mean(PRIOR_LATE_SHARE, PRIOR_RESPONSES, now)
         return health.nats(now, min(-math.log(late) / EJECTION_NATS, 1.0) / self._typical_missed_responses)
 
     def is_degraded(self, health: EndpointHealth, now: float) -> bool:
-        """Return whether requests that can't be retried should not go there."""
+        """Return whether requests that can't be retried should avoid the endpoint."""
         if self.nats(health, now) >= CAUTION_NATS:
             return True
         share = self._outcomes.mean(PRIOR_FAILURE_RATE, PRIOR_OUTCOMES, now)
@@ -248,7 +248,7 @@
         return health.outcomes.total > share * count + CAUTION_DEVIATIONS * deviation + 1.0
 
     def is_ejected(self, health: EndpointHealth) -> bool:
-        """Return whether it is ejected, and gets trials only."""
+        """Return whether the endpoint is ejected, and gets trials only."""
         return health in self._ejected
 
     def is_due(self, now: float) -> bool:
@@ -262,6 +262,6 @@
         return health in self._ejected and not (may_be_trial and now >= health.next_trial_at)
 
     def on_sent(self, health: EndpointHealth, now: float) -> None:
-        """Count an attempt there: a trial, if it is ejected."""
+        """Count an attempt at the endpoint: a trial, if the endpoint is ejected."""
         if health in self._ejected:
             self._schedule_trial(health, now)
--- a/cometdoor/balancing/simulator_adapter.py
+++ b/cometdoor/balancing/simulator_adapter.py
@@ -150,7 +150,7 @@
 
 
 def read_load(usage: Any) -> dict[str, float]:
-    """Decode a load report, to the names that the platform uses."""
+    """Decode a load report; its metrics get the names that the platform uses."""
     return {LOAD_METRICS.get(name, name): float(value) for name, value in usage.items()} if usage else {}
 
 
--- a/cometdoor/control/elections.py
+++ b/cometdoor/control/elections.py
@@ -24,7 +24,7 @@
 
 
 class Elections:
-    """The part of one replica in elections: its election timeout, its candidacy and its votes for others.
+    """Elections from the view of one replica: its election timeout, its candidacy and its votes for others.
 
     Parameters
     ----------
--- a/cometdoor/control/leader_contact.py
+++ b/cometdoor/control/leader_contact.py
@@ -92,7 +92,7 @@
         return max(replica.elections.leader_last_seen_at, replica.replication.read_rounds.confirmed_at)
 
     def has_quorum_contact(self, now: float) -> bool:
-        """Return whether a leader's newest confirmed round is recent enough to begin or await anything."""
+        """Return whether a leader's newest confirmed round is recent enough to start or await requests."""
         return now - self._replica.replication.read_rounds.confirmed_at < QUORUM_CONTACT_MAX_AGE_S
 
     def contact_status(self, now: float, is_leader_connection_broken: bool = False) -> ContactStatus:
