--- a/benchmarks/contact.py
+++ b/benchmarks/contact.py
@@ -168,7 +168,7 @@
             "session_histories": len(histories),
             "session_calls": sum(result.calls for result in histories),
             "resent": sum(result.resent for result in histories),
-            "resent_refused": sum("refused" in text for text in (*broken, *violations)),
+            "resent_refused": sum("rejected" in text for text in (*broken, *violations)),
             "sessions_broken": len(broken),
             "contact_planted": len(DEFECTS),
             "contact_planted_found": sum(map(bool, detections)),
--- a/simulation/isolated_replica.py
+++ b/simulation/isolated_replica.py
@@ -87,7 +87,7 @@
             ]
             if rejected_statuses and call.order.body in accepted_at:
                 violations.append(
-                    f"change {call.order.revision} was accepted, and refused with {rejected_statuses[0]}"
+                    f"change {call.order.revision} was accepted, and rejected with {rejected_statuses[0]}"
                 )
         elif call.status in (200, 404):
             read_revision = int(json.loads(call.body)["revision"]) if call.status == 200 else 0
--- a/simulation/linearizability.py
+++ b/simulation/linearizability.py
@@ -357,7 +357,7 @@
 def _verify(group: ObservedGroup) -> ObservedGroup:
     if group.rejected_resend_count:
         raise InvariantError(
-            f"seed {group.seed}: {group.rejected_resend_count} accepted changes were refused when resent"
+            f"seed {group.seed}: {group.rejected_resend_count} accepted changes were rejected when resent"
         )
     if not is_linearizable(group.history):
         raise InvariantError(
