--- a/cometdoor/cli/daemons.py
+++ b/cometdoor/cli/daemons.py
@@ -1,8 +1,8 @@
 """Runs the mesh's two daemons, data plane and control plane, from reading their settings to shutdown.
 
 Separate from the command line (cometdoor/cli/mesh_commands.py), since the platform charges the processor time
-of a start: until the settings are read, importing typer takes 0.12 of 0.31 s, and 11 of 40 MB. For the same
-reason, the package of a daemon is imported only when that daemon starts.
+of a start: of the 0.31 s and 40 MB that a start takes until the settings are read, importing typer would take
+0.12 s and 11 MB. For the same reason, the package of a daemon is imported only when that daemon starts.
 """
 
 from __future__ import annotations
--- a/cometdoor/client/__init__.py
+++ b/cometdoor/client/__init__.py
@@ -5,9 +5,9 @@
                                      kind=RequestKind.IDEMPOTENT)
 
 A failed call raises an error whose class gives its execution status: `NotExecuted`, `OutcomeUnknown` or
-`ExecutionFailed`. The library imports neither the proxy nor the control plane, only the
-decision module's retry limiter (`cometdoor.balancing.attempts`). `cometdoor.client.blocking` is for programs
-without an event loop. Names of the versions before December 2026 still work and raise a `DeprecationWarning`
+`ExecutionFailed`. The library imports neither the proxy nor the control plane, only the decision module's
+retry limiter (`cometdoor.balancing.attempts`). `cometdoor.client.blocking` is for programs without an event
+loop. Names of the versions before December 2026 still work and raise a `DeprecationWarning`
 (`deprecated_names`).
 """
 
--- a/cometdoor/client/backend_agent.py
+++ b/cometdoor/client/backend_agent.py
@@ -10,8 +10,8 @@
 from cometdoor.client.connection import ConnectionFailed, request_once
 from cometdoor.client.deprecated_names import accepts_former_keywords, instance_getattr
 
-ACKNOWLEDGEMENT_TIMEOUT_S = 1.0  # of one heartbeat or deregistration
-RETRY_INTERVAL_S = 0.1  # after a heartbeat that was not acknowledged
+ACKNOWLEDGEMENT_TIMEOUT_S = 1.0  # for one heartbeat or deregistration
+RETRY_INTERVAL_S = 0.1  # delay after a heartbeat that was not acknowledged
 
 
 class HealthResponse(NamedTuple):
--- a/cometdoor/client/connection.py
+++ b/cometdoor/client/connection.py
@@ -14,7 +14,7 @@
 from cometdoor.errors import CometdoorError
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_RESPONSE_BYTES = 64 << 20  # of the body
+MAX_RESPONSE_BYTES = 64 << 20  # maximum size of a body
 
 
 @dataclass(frozen=True, slots=True)
--- a/cometdoor/client/operator.py
+++ b/cometdoor/client/operator.py
@@ -15,7 +15,7 @@
 if not TYPE_CHECKING:
     __getattr__ = module_getattr("operator")
 
-RESPONSE_TIMEOUT_S = 1.5  # of one request; each redirect has its own
+RESPONSE_TIMEOUT_S = 1.5  # for one request; each redirect has a timeout of its own
 BACKOFF_MIN_S, BACKOFF_MAX_S = 0.1, 1.0  # delay between attempts; doubles each time
 MAX_REDIRECTS = 2
 
--- a/cometdoor/client/retry_policy.py
+++ b/cometdoor/client/retry_policy.py
@@ -24,7 +24,7 @@
 REJECTED_STATUSES = (400, 401, 403, 404, 405, 411, 413, 414, 431)
 IN_PROGRESS_STATUS = 409  # another attempt with the same key is being executed
 BACKOFF_MIN_S, BACKOFF_MAX_S = 0.05, 1.0  # delay without a Retry-After; doubles each time
-RETRY_AFTER_MAX_SHARE = 1 / 3  # of the remaining time that a Retry-After may delay a retry
+RETRY_AFTER_MAX_SHARE = 1 / 3  # share of the remaining time that a Retry-After may take
 ATTEMPT_TIME_MIN_S = 0.02  # no attempt is made with less time remaining
 
 
--- a/cometdoor/discovery/__init__.py
+++ b/cometdoor/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's proxy (one service), and the discovery client that it shares with the older proxy."""
+"""The platform's proxy (one service), and the discovery client that the proxy for services uses as well."""
--- a/cometdoor/discovery/node.py
+++ b/cometdoor/discovery/node.py
@@ -17,7 +17,7 @@
 
 
 class Node:
-    """Front end, service and discovery client of one proxy.
+    """Frontend, service and discovery client of one proxy.
 
     Parameters
     ----------
--- a/cometdoor/host/attempt_outcome.py
+++ b/cometdoor/host/attempt_outcome.py
@@ -44,7 +44,7 @@
     Attributes
     ----------
     outcome : Outcome
-        Whether it succeeded, failed, or was not executed.
+        Whether the attempt succeeded, failed, or was not executed.
     blame : float | None
         Weight against the server, -1 to 1; None: the decision module's default for the outcome.
     closed_while_idle : bool
--- a/cometdoor/host/balancer_host.py
+++ b/cometdoor/host/balancer_host.py
@@ -194,7 +194,7 @@
             self._reject_unsent(active_request)
 
     def _reject_unsent(self, active_request: ActiveRequest[RequestT, ResponseT]) -> None:
-        """Reject a request if it has no attempt yet: a retry is safe, and early is better than late."""
+        """Reject a request if it has no attempt yet: a retry is safe, and best started early."""
         if active_request.attempts:
             return
         client = self._detach_client(active_request)
--- a/cometdoor/host/connection_reuse.py
+++ b/cometdoor/host/connection_reuse.py
@@ -25,7 +25,7 @@
 PRIOR_SURVIVORS = 4.0
 # Of the requests for which an idle connection is too old by the estimate, one in this many uses it
 # nevertheless. Without these trials, an estimate that became bad for all ages (after a crash or a burst of
-# lost responses) was never corrected, and proxies opened a connection for each request for a day.
+# lost responses) is never corrected: proxies then opened a new connection for each request for a day.
 TRIAL_INTERVAL_CALLS = 50
 DISPROVED_FACTOR = 0.5  # applied to the deaths up to an age when a connection of that age carries a response
 MIN_OWN_OBSERVATIONS = 20.0  # minimum for using a server's own estimate alone; fewer are too noisy
@@ -92,7 +92,7 @@
     def is_worth_reusing(self, idle_s: float, is_not_idempotent: bool) -> bool:
         """Return whether a request should use a connection of this age.
 
-        `is_not_idempotent`: the request may not be retried.
+        `is_not_idempotent`: the request must not be retried.
         """
         return self.closed_probability(idle_s) <= (
             MAX_RISK_NON_IDEMPOTENT if is_not_idempotent else MAX_RISK_IDEMPOTENT
@@ -106,8 +106,8 @@
 class ConnectionReuse:
     """The estimates for all servers of a pool.
 
-    A server with few observations is assumed to behave like the others. With separate estimates only, each of
-    eight servers lost two or three requests to learn what the estimate of one server had already shown.
+    A server with few observations is assumed to behave like the others. With separate estimates only, two or
+    three requests were lost at each of eight servers, although the servers behaved alike.
     """
 
     def __init__(self) -> None:
--- a/cometdoor/host/exchange/backend_exchanges.py
+++ b/cometdoor/host/exchange/backend_exchanges.py
@@ -28,7 +28,7 @@
     PARTIALLY_WRITTEN = "partially written"  # some bytes were written, but not the last
     WRITTEN = "written"  # all bytes were written; no byte of a response was received
     RECEIVING = "receiving"  # some bytes of a response were received
-    AFTER_EXTRA_BYTES = "after extra bytes"  # written; got an interim or another's response, or line ends
+    AFTER_EXTRA_BYTES = "after extra bytes"  # written; line ends, or an interim or other response came
 
 
 class BackendExchangeEvent(Enum):
@@ -38,7 +38,7 @@
     RESET = "reset"  # the connection was reset, or the host is unreachable
     CLOSED = "closed"  # the backend closed the connection without an error
     TIMED_OUT = "timed out"
-    MALFORMED = "malformed"  # the bytes are not a response, or one without a defined end
+    MALFORMED = "malformed"  # not a valid response, or a response without a defined end
     TOO_LARGE = "too large"
     INTERIM = "interim"  # 1xx
     RESPONSE = "response"  # a complete response with the request's id and any status
--- a/cometdoor/host/exchange/table.py
+++ b/cometdoor/host/exchange/table.py
@@ -1,7 +1,7 @@
 """Types of the exchange tables, and cells that several tables use.
 
 The conclusion of a cell concerns the request: it was executed, it was not executed and never will be, or
-neither is proven. Only the second one permits a retry of a request that is not idempotent.
+neither is proven. A request that is not idempotent may be retried only if it was not executed.
 """
 
 from __future__ import annotations
--- a/cometdoor/host/interfaces.py
+++ b/cometdoor/host/interfaces.py
@@ -46,7 +46,10 @@
         """Forward the response."""
 
     def on_rejected(self, retry_after_ms: float) -> None:
-        """Report that the request was not executed or may safely be retried; 0: no suggested retry delay."""
+        """Report that the request was not executed or may safely be retried.
+
+        `retry_after_ms`: suggested delay before the retry; 0: no suggestion.
+        """
 
     def on_failed(self) -> None:
         """Report that the request failed and may have been executed."""
--- a/cometdoor/host/settings_validation.py
+++ b/cometdoor/host/settings_validation.py
@@ -2,7 +2,7 @@
 
 Libraries that convert plain data to typed objects stop at the first problem, so a file's content is checked
 field by field before it is converted. The parts that depend on the library are in `dataclass_settings`
-(mashumaro, for the mesh) and `struct_settings` (msgspec, for the proxy of services).
+(mashumaro, for the mesh) and `struct_settings` (msgspec, for the proxy for services).
 """
 
 from __future__ import annotations
--- a/cometdoor/host/struct_settings.py
+++ b/cometdoor/host/struct_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the proxy of services and of the planners as msgspec structs.
+"""Settings of the proxy for services and of the planners as msgspec structs.
 
 Unknown keys are reported as problems. docs/design/services.md has the reasons for this library.
 """
--- a/cometdoor/http/backend_connection.py
+++ b/cometdoor/http/backend_connection.py
@@ -41,8 +41,8 @@
 RESPONSE_READ_GRACE_S = 0.05
 # The last byte of a request that must not be executed twice is delayed until a FIN or RST that the backend
 # may already have sent would have arrived. That takes one round trip, like the handshake, plus the delays of
-# system timers and of two event loops. On one bad day, 68 connections broke during a request: 47 within 5 ms
-# of its start and before any byte of a response, 35 of these within 1 ms.
+# system timers and of two event loops. Of 68 connections that broke during a request on a bad
+# day, 47 did so within 5 ms of its start and before any byte of a response, 35 of these within 1 ms.
 LAST_BYTE_DELAY_MIN_S, LAST_BYTE_DELAY_MAX_S = 0.003, 0.02
 LAST_BYTE_DELAY_HANDSHAKES = 2.0
 # Limit of the failed request ids stored for a connection; a connection that exceeds it is closed.
--- a/cometdoor/http/backend_pool.py
+++ b/cometdoor/http/backend_pool.py
@@ -126,7 +126,7 @@
         server
             The backend's name.
         is_not_idempotent
-            Whether the request may not be retried if the connection turns out to be closed.
+            Whether the request must not be retried if the connection turns out to be closed.
         request_id
             Connections on which a request with this id has failed are not used.
         """
--- a/cometdoor/http/client_connection.py
+++ b/cometdoor/http/client_connection.py
@@ -27,10 +27,10 @@
 )
 from cometdoor.http.sockets import is_readable
 
-READ_CHUNK_BYTES = 8 * 1024  # of input that is parsed at once; `received_bytes` is exact to one chunk
-MAX_PIPELINED_REQUESTS = 4  # that wait on one connection; at this number reading from it pauses
+READ_CHUNK_BYTES = 8 * 1024  # maximum input parsed at once; `received_bytes` is exact to one chunk
+MAX_PIPELINED_REQUESTS = 4  # requests waiting on one connection; at this number reading from it pauses
 MAX_REQUESTS_PER_READ = 16  # pipelined requests in one read; input with more is rejected
-MAX_LINGER_BYTES = 1 << 20  # of discarded input; with more the connection is aborted
+MAX_LINGER_BYTES = 1 << 20  # maximum input discarded on a closing connection; with more it is aborted
 
 
 class ClientConnection(asyncio.Protocol):
--- a/cometdoor/http/client_limits.py
+++ b/cometdoor/http/client_limits.py
@@ -9,7 +9,7 @@
 # From accepting a connection, or from the first byte of a later request, to the request's last byte. The
 # platform allows 3 s.
 REQUEST_READ_TIMEOUT_S = 2.4
-IDLE_TIMEOUT_S = 15.0  # after which a connection without an open request is closed
+IDLE_TIMEOUT_S = 15.0  # time after which a connection without an open request is closed
 
 
 @dataclass(frozen=True, slots=True)
--- a/cometdoor/http/frontend.py
+++ b/cometdoor/http/frontend.py
@@ -19,11 +19,11 @@
 
 # Idle timeout while clients use more than half of their connection limit.
 CROWDED_IDLE_TIMEOUT_S = 2.0
-UNUSED_CONNECTION_GRACE_S = 0.3  # after which a connection without any request may be evicted
-LINGER_TIMEOUT_S = 0.5  # during which the input of a closing connection is read and discarded
+UNUSED_CONNECTION_GRACE_S = 0.3  # age from which a connection without any request may be evicted
+LINGER_TIMEOUT_S = 0.5  # time for which the input of a closing connection is read and discarded
 SWEEP_INTERVAL_S = 0.1
-MAX_EVICTION_CANDIDATES = 8  # checked per new connection, to limit the cost of a burst of hundreds
-MAX_ACCEPTS_PER_TURN = 32  # per iteration of the event loop, which closes rejected connections' sockets
+MAX_EVICTION_CANDIDATES = 8  # connections checked per new one, to limit the cost of a burst of hundreds
+MAX_ACCEPTS_PER_TURN = 32  # connections per iteration of the event loop, which closes rejected sockets
 
 
 @dataclass
@@ -154,9 +154,9 @@
         Candidates in this order: a closing connection, an idle one that has carried only health checks, one
         without any request, one that has been idle for long, one of the service with the most connections.
 
-        Connections of health checks are evicted early because hundreds of persistent ones once used up the
-        client limit, so that all other connections were closed for 2 s. A health checker loses an idle
-        connection but no response, and only under load.
+        Connections of health checks are evicted early because hundreds of persistent ones can use up the
+        client limit, which closed all other connections for 2 s. A health checker loses an idle connection
+        but no response, and only under load.
         """
         now = self.loop.time()
         for connection in self.timeouts.lingering:
--- a/cometdoor/http/graceful_shutdown.py
+++ b/cometdoor/http/graceful_shutdown.py
@@ -16,7 +16,7 @@
 DRAIN_SERVE_S = 2.0  # from SIGTERM until idle connections are closed
 DRAIN_LISTEN_S = 2.1  # from SIGTERM until the listeners are closed
 POLL_INTERVAL_S = 0.02
-FLUSH_TIMEOUT_S = 1.5  # within which clients can read their last responses
+FLUSH_TIMEOUT_S = 1.5  # time that clients have to read their last responses
 
 log = logging.getLogger(__name__)
 
--- a/cometdoor/http/response_classification.py
+++ b/cometdoor/http/response_classification.py
@@ -8,7 +8,7 @@
 from cometdoor.http.messages import Response, parse_decimal
 
 MAX_LOAD_REPORT_BYTES = 256  # the platform's reports have at most four values
-NOT_EXECUTED_STATUSES = (503, 504)  # which X-Never-Ran may mark as not executed
+NOT_EXECUTED_STATUSES = (503, 504)  # of responses that X-Never-Ran may mark as not executed
 REJECTION_STATUSES = (429, 503)
 
 
--- a/cometdoor/http/service.py
+++ b/cometdoor/http/service.py
@@ -20,7 +20,7 @@
 from cometdoor.http.messages import ClientRequest, Response, end_to_end_headers
 from cometdoor.http.response_classification import classify_platform_response, parse_load_report
 
-MAX_LAST_BYTE_DELAY_SHARE = 0.02  # of a request's remaining time that the last-byte delay may use
+MAX_LAST_BYTE_DELAY_SHARE = 0.02  # share of a request's remaining time for the last-byte delay
 
 
 @dataclass(frozen=True, slots=True)
--- a/cometdoor/planning/advice.py
+++ b/cometdoor/planning/advice.py
@@ -32,7 +32,7 @@
 FULL_TRUST_MS = 1_500.0  # three reporting intervals: two messages may be lost in a row
 ADVICE_TTL_MS = 5_000.0  # by then an unresponsive server has usually been delisted or has recovered
 WEIGHT_DOUBLING_MS = 1_000.0  # time in which restored weight doubles: from the minimum to all in 6 s
-MAX_ADVISED_SHARE = 0.5  # of the servers; advice against more of them is ignored
+MAX_ADVISED_SHARE = 0.5  # share of the servers; advice against more of them is ignored
 WEIGHT_STEPS = 100  # a weight share is sent in hundredths
 SCALE_STEPS = 10  # a subset scale is sent in tenths
 MAX_SCALE_TENTHS = 65_535  # beyond it every subset is the whole list
@@ -56,7 +56,7 @@
 
     is_complete: bool  # whether servers that are not named are healthy; else their state is not known
     server_advices: list[ServerAdvice]
-    subset_scale: int = 0  # of the receiver, in tenths, at least 10; 0: not known
+    subset_scale: int = 0  # scale of the receiver's subset, in tenths, at least 10; 0: not known
 
 
 class InvalidAdviceError(CometdoorError):
--- a/cometdoor/planning/capacity_leasing.py
+++ b/cometdoor/planning/capacity_leasing.py
@@ -5,7 +5,7 @@
 modules of the forwarders use one part without leases, and LEASED_BUDGET_SHARE of it is divided equally among
 the planners. A planner issues leases from its own part alone.
 
-A lease is a number of attempts, held by the decision module of the forwarder that got it. It is valid for
+A lease is a number of attempts that the decision module of its receiver may make. It is valid for
 `lease_ttl_ms` from its receipt, and is accepted only if its message proves that it was written at most
 `max_lease_age_ms` before. So a lease is used within `max_lease_age_ms + lease_ttl_ms` of its issue, and what
 a planner issues within that time and one more window is bounded by its part of one window.
@@ -25,12 +25,12 @@
 from cometdoor.errors import CometdoorError
 from cometdoor.planning.load_reports import SERVER_ID_BYTES
 
-# Of the budget, for all planners together. The decision modules' part takes half of the budget as a rate, and
-# half of a window's rate as a burst (OVERLOAD_MARGIN in cometdoor/balancing/slow_start.py): three quarters in
-# one window.
+# Share of the budget that all planners together may lease. The decision modules' part takes half of the
+# budget as a rate, and half of a window's rate as a burst (OVERLOAD_MARGIN in
+# cometdoor/balancing/slow_start.py): three quarters in one window.
 LEASED_BUDGET_SHARE = 0.2
 LEASE_TTL_MS = 1_000.0  # shorter than slow start, which takes seconds, and longer than a reporting interval
-MAX_LEASE_AGE_MS = 1_000.0
+MAX_LEASE_AGE_MS = 1_000.0  # a lease in an older message, or in one of unproven age, is not accepted
 
 
 @dataclass(frozen=True, slots=True)
--- a/cometdoor/planning/health_records.py
+++ b/cometdoor/planning/health_records.py
@@ -23,12 +23,12 @@
 EVIDENCE_DECAY_MS = 3_000.0  # time constant; the same as that of failures in the decision module
 # A pending call counts as stalled if it exceeds the longest usual latency by this time while the server
 # answers nothing. The time is longer than any garbage collection pause of a healthy server. A limit on the
-# age of the call alone marks healthy servers with 0.2 s of work or more as unhealthy: 118 in 32 seeded
-# fleets.
+# age of the call alone marks healthy servers with 0.2 s of work or more as unhealthy: 118 of them in 32
+# simulated fleets.
 STALLED_CALL_AGE_MS = 400.0
 REPORT_TIME_ERROR_MS = 200.0  # error of times in reports: network delay, and rounding to 0.1 s
 MAX_OBSERVERS_PER_SERVER = 12  # bounds memory; more observers change no median
-TRAFFIC_WINDOW_MS = 20_000.0  # over which a forwarder's traffic is measured: 40 calls at two a second
+TRAFFIC_WINDOW_MS = 20_000.0  # period over which a forwarder's traffic is averaged: 40 calls at two a second
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
         Parameters
         ----------
         number
-            Of the forwarder.
+            The forwarder's number.
         answered_ms
             When the server last answered any forwarder.
         """
@@ -137,7 +137,7 @@
         observer = self.observers.get(number)
         if observer is None or observer.start_number != start_number:
             if observer is None and len(self.observers) >= MAX_OBSERVERS_PER_SERVER:
-                oldest = min(self.observers, key=lambda known: self.observers[known].at_ms)
+                oldest = min(self.observers, key=lambda candidate: self.observers[candidate].at_ms)
                 if now_ms - self.observers[oldest].at_ms < EVIDENCE_DECAY_MS:
                     return None
                 del self.observers[oldest]
@@ -173,7 +173,10 @@
         return min(self.answers_ms) if len(self.answers_ms) == MISSED_ANSWERS else -math.inf
 
     def is_overdue(self, answering_since_ms: float) -> bool:
-        """Tell whether it has answered nothing since `answering_since_ms`, and was known then."""
+        """Return whether the server has answered nothing since `answering_since_ms`.
+
+        A server whose present start was first named after that time is not overdue.
+        """
         return max(self.answered_ms, self.known_ms) < answering_since_ms
 
     def views(self, now_ms: float) -> Iterator[ObserverView]:
@@ -184,7 +187,7 @@
 
     def forget_observers(self, before_ms: float) -> None:
         """Drop observers that last reported before that time."""
-        for number in [number for number, known in self.observers.items() if known.at_ms < before_ms]:
+        for number in [number for number, candidate in self.observers.items() if candidate.at_ms < before_ms]:
             del self.observers[number]
 
 
--- a/cometdoor/planning/health_scoring.py
+++ b/cometdoor/planning/health_scoring.py
@@ -24,12 +24,12 @@
 )
 from cometdoor.planning.load_reports import LoadReport
 
-RECORD_TTL_MS = 15_000.0  # records without a report for this time are dropped: five decay constants
-MAX_SERVERS = 20_000  # twice the largest planned fleet; beyond it the longest unreported are dropped
+RECORD_TTL_MS = 15_000.0  # records without a report for this time are dropped: five decay time constants
+MAX_SERVERS = 20_000  # twice the largest planned fleet; above it, those not reported for longest are dropped
 # An unhealthy server that gets no attempts yields no evidence. The last verdict is kept for this time, unless
 # the server answers. Without this, an unresponsive server regains a fifth of its weight after 6 s.
 VERDICT_TTL_MS = 10_000.0
-MIN_COUNTED_SENDS = 20.0  # attempts before a forwarder's traffic counts: its error is a quarter then
+MIN_COUNTED_SENDS = 20.0  # attempts before a forwarder's traffic counts; the error is then a quarter
 
 Evidence = Mapping[bytes, list[ObserverView]]
 
--- a/cometdoor/planning/health_verdicts.py
+++ b/cometdoor/planning/health_verdicts.py
@@ -13,13 +13,13 @@
 from enum import StrEnum
 from statistics import median
 
-MIN_CALLS_PER_OBSERVER = 3.0  # calls, decayed, before an observer's shares and latencies count
+MIN_CALLS_PER_OBSERVER = 3.0  # calls (decayed) that an observer needs for its shares and latencies to count
 # Observers that must agree, where there are several forwarders: a single one may have a bad network path or
-# report nonsense. On servers that only one forwarder uses it decides alone.
+# report nonsense. If there is only one forwarder, it decides alone.
 MIN_AGREEING_OBSERVERS = 2
 # A server is overdue once the median server had this many reports of answers since its last answer. By chance
 # one healthy server in e**6 is overdue, so observers must agree as well. Counting over the same time for all
-# servers avoids false verdicts under a shared slowdown; a mean over the last seconds gave six in 24 fleets.
+# servers avoids false verdicts under a shared slowdown; a mean over the last seconds caused six in 24 fleets.
 MISSED_ANSWERS = 6
 # Evidence in nats that observers must have. Each call that was lost, or is pending for too long, adds minus
 # the logarithm of the probability of a failure at the median server: where few calls fail, three such calls
@@ -28,7 +28,7 @@
 MIN_STALL_EVIDENCE_NATS = 8.0
 SLOW_THRESHOLD_DOUBLINGS = 1.0  # a server is slow if its latency exceeds the median server's by this
 # Standard deviations beyond chance: 300 servers are assessed four times a second, and no healthy one may be
-# found unhealthy in days. Without this bound servers of healthy seeded fleets are found slow and failing
+# found unhealthy in days. Without this bound, servers of healthy simulated fleets are found slow and failing
 # (tests/planning/test_health_scoring.py).
 SIGNIFICANCE_SIGMAS = 5.0
 LOG2_LATENCY_STDDEV = 1.85  # in doublings; of an exponentially distributed time: pi / sqrt(6) / ln 2
@@ -113,7 +113,7 @@
     Parameters
     ----------
     views
-        Of the observers that have a vote.
+        Evidence of the observers that have a vote.
     baseline
         The median server.
     is_overdue
--- a/cometdoor/planning/load_reports.py
+++ b/cometdoor/planning/load_reports.py
@@ -23,11 +23,11 @@
 
 REPORT_INTERVAL_MS = 500.0  # within two of these some forwarder has calls pending at an unresponsive server
 REPORT_JITTER_SHARE = 0.2  # of the interval, to either side; spreads the reports that planners get
-SERVER_ID_BYTES = 6  # of a hash: 10,000 servers have a collision in one of five million fleets
+SERVER_ID_BYTES = 6  # of a name's hash; of five million fleets with 10,000 servers, one has a collision
 LATENCY_STEPS_PER_DOUBLING = 8  # resolution of latencies in reports
 # A cancelled call counts against its server if it exceeded the usual latency by this many doublings. As a
-# rule its hedge was answered first, so that calls to an unresponsive server rarely time out. If such calls
-# are not reported, no planner finds the server (over sockets, with 90 requests/s at each of five proxies).
+# rule its hedge was answered first, so that calls to an unresponsive server rarely time out. Without reports
+# of such calls, no planner finds the server (seen over sockets, with 90 requests/s at each of five proxies).
 LATE_CANCEL_DOUBLINGS = 1.0
 # The same threshold for a call that is still pending. Of exponentially distributed times, whose mean is 1.8
 # times their geometric mean, one in ninety is longer.
@@ -73,7 +73,7 @@
     # mean of log2(latency / latency target) of answered calls, in steps of 1/LATENCY_STEPS_PER_DOUBLING
     log2_latency: int
     since_answer_tenths_s: int  # since its last answer; MAX_COUNT: none, or longer ago
-    overdue_tenths_s: int  # by which the latest pending call exceeds 2**LATE_CALL_DOUBLINGS of the usual
+    overdue_tenths_s: int  # of the most overdue pending call, over 2**LATE_CALL_DOUBLINGS times the usual
 
 
 class LoadReport(msgspec.Struct, array_like=True, frozen=True):
@@ -299,7 +299,7 @@
         )
 
     def _overdue_ms(self, server: str, now_ms: float) -> float:
-        """Return by how much the latest pending call exceeds the longest usual latency.
+        """Return by how much the most overdue pending call exceeds the longest usual latency.
 
         Until a call was answered, the latency target is used as the usual latency.
         """
--- a/cometdoor/planning/sealed_messages.py
+++ b/cometdoor/planning/sealed_messages.py
@@ -37,7 +37,7 @@
 MAX_BODY_BYTES = MAX_MESSAGE_BYTES - HEADER.size - SEAL_BYTES
 MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 32  # the maximum is BLAKE2s's
 MAX_INCARNATIONS = 16  # of one peer within the retention time
-REPLAY_WINDOW = 64  # message numbers: a late message this far below the highest is accepted, once
+REPLAY_WINDOW = 64  # message numbers; a late message less than this below the highest is accepted, once
 
 
 class MessageKind(IntEnum):
@@ -76,7 +76,7 @@
     age_ms: float | None  # upper bound; None: not proven
 
     def is_fresh(self, max_age_ms: float) -> bool:
-        """Tell whether it is proven to be no older than `max_age_ms`."""
+        """Return whether the message is proven to be no older than `max_age_ms`."""
         return self.age_ms is not None and self.age_ms <= max_age_ms
 
 
--- a/cometdoor/planning/settings.py
+++ b/cometdoor/planning/settings.py
@@ -1,7 +1,8 @@
 """The operators' files of planners and of forwarders (deploy/planners.example.toml, forwarders.example.toml).
 
 Servers come from discovery or the services' file, as without planning. Keys are in separate files, as
-hexadecimal digits. Attributes whose key in the file differs have it as `name`.
+hexadecimal digits. If an attribute's key in the file differs from the attribute's name, it is given as the
+field's `name`.
 """
 
 from __future__ import annotations
--- a/cometdoor/planning/status.py
+++ b/cometdoor/planning/status.py
@@ -1,6 +1,6 @@
 """A planner's status for operators: forwarders that report, unhealthy servers, leases. No I/O.
 
-Attributes whose key in the JSON differs have it as `name`.
+If an attribute's key in the JSON differs from the attribute's name, it is given as the field's `name`.
 """
 
 from __future__ import annotations
--- a/cometdoor/planning/transport.py
+++ b/cometdoor/planning/transport.py
@@ -40,7 +40,7 @@
     loop
         Event loop.
     address
-        Of the planner.
+        The planner's address.
     on_datagram
         Called with each message from the planner.
     """
@@ -94,7 +94,7 @@
 
 
 class DatagramConnection(PlannerConnection, asyncio.DatagramProtocol):
-    """Messages as UDP datagrams."""
+    """Sends and receives messages as UDP datagrams."""
 
     async def _connect(self) -> None:
         await self._loop.create_datagram_endpoint(lambda: self, remote_addr=self._address)
@@ -111,7 +111,7 @@
 
 
 class StreamConnection(PlannerConnection, asyncio.Protocol):
-    """Messages as frames on a TCP connection."""
+    """Sends and receives messages as frames on a TCP connection."""
 
     async def _connect(self) -> None:
         self._decoder = FrameDecoder()
@@ -147,7 +147,7 @@
     transport
         "udp" or "tcp".
     random
-        For the jitter of reports.
+        Random generator for the jitter of reports.
     deliver
         Called with events for the decision module.
 
@@ -270,7 +270,7 @@
         Parameters
         ----------
         service
-            Its name.
+            The service's name.
         warm_up_ms, clock_offset_ms
             See `Forwarder`.
         deliver
--- a/cometdoor/services/__init__.py
+++ b/cometdoor/services/__init__.py
@@ -1,1 +1,1 @@
-"""The older proxy with the operators' file (`cometdoor serve FILE`): several services in one process."""
+"""The proxy for services, older than the mesh: `cometdoor serve FILE` serves several in one process."""
--- a/cometdoor/services/request_reader.py
+++ b/cometdoor/services/request_reader.py
@@ -1,4 +1,4 @@
-"""Routes requests of the older proxy: sets their service, class, remaining time and trace id."""
+"""Routes requests of the proxy for services: sets their service, class, remaining time and trace id."""
 
 from __future__ import annotations
 
--- a/cometdoor/services/request_targets.py
+++ b/cometdoor/services/request_targets.py
@@ -57,7 +57,7 @@
         or len(host) > MAX_HOST_LENGTH
         or not all(HOST_LABEL.fullmatch(label) for label in host.split("."))
     ):
-        raise ValueError(f"{text!r} is no host name")
+        raise ValueError(f"{text!r} is not a host name")
     return host
 
 
@@ -182,14 +182,16 @@
     try:
         path = text.encode("ascii")
         if not path.startswith(b"/") or b"?" in path or b"#" in path or any(byte <= 32 for byte in path):
-            raise InvalidPatternError(f"{text!r} is no path; it begins with / and has no blanks, ? or #")
+            raise InvalidPatternError(
+                f"{text!r} is not a path; a path begins with / and has no blanks, ? or #"
+            )
         segments = path_segments(path)
         if segments != lenient_path_segments(path):
             raise InvalidPatternError(
-                f"{text!r} can be read in two ways; no escaped slash, \\, ; or // can stand there"
+                f"{text!r} can be read in two ways; it must not contain an escaped slash, \\, ; or //"
             )
         return segments
     except UnicodeEncodeError:
-        raise InvalidPatternError(f"{text!r} has characters that a path can only hold escaped") from None
+        raise InvalidPatternError(f"{text!r} has characters that must be escaped in a path") from None
     except RoutingError as problem:
         raise InvalidPatternError(f"{text!r}: {problem}") from None
--- a/cometdoor/services/service_manager.py
+++ b/cometdoor/services/service_manager.py
@@ -24,7 +24,7 @@
 class ServiceManager:
     """Creates, reconfigures and drains the service instances of a process.
 
-    It is the request handler of the front end: it passes each request to the instance that it was routed to
+    It is the request handler of the frontend: it passes each request to the instance that it was routed to
     on arrival.
 
     Parameters
@@ -132,14 +132,14 @@
     def _change_routes(self, routes: RoutingTable) -> None:
         self.reader.update(routes, self.running, self.settings.health_path.encode())
 
-    # --- for its instances ---
+    # --- called by the service instances ---
 
     def deliver(self, events: list[EndpointListUpdate[ServiceInstance]]) -> None:
         """Deliver each list event to its service instance."""
         for update in events:
             update.service.http.on_endpoints_changed(update.event, update.addresses)
 
-    # --- for the front end ---
+    # --- called by the frontend ---
 
     def accept(self, connection: ClientConnection, request: ClientRequest) -> None:
         """Pass a request to its service instance."""
--- a/cometdoor/services/settings.py
+++ b/cometdoor/services/settings.py
@@ -219,7 +219,7 @@
         if route.cls is not None and route.cls not in service.classes:
             yield (
                 f"{location}.routes.{index}.class",
-                f"{route.cls} is no class of this service; it has {', '.join(service.classes) or 'none'}",
+                f"{route.cls} is not a class of this service; it has {', '.join(service.classes) or 'none'}",
             )
 
 
@@ -239,8 +239,8 @@
     for earlier, later in find_ambiguous_routes(settings.routes()):
         yield (
             later.config_path,
-            f"{later.describe()} to {later.service} has the same right as {earlier.config_path}, "
-            f"{earlier.describe()} to {earlier.service}; one of the two must say more",
+            f"{later.describe()} to {later.service} matches the same requests as {earlier.config_path}, "
+            f"{earlier.describe()} to {earlier.service}; one of the two must be more specific",
         )
     try:
         health_path = parse_path_prefix(settings.health_path)
@@ -251,5 +251,5 @@
         if named_route.path == health_path and health_path:
             yield (
                 named_route.config_path,
-                f"its path is that of up ({settings.health_path}), which no service can have",
+                f"its path is the health path up ({settings.health_path}), which no service can have",
             )
--- a/stories/client/test_client.py
+++ b/stories/client/test_client.py
@@ -64,7 +64,7 @@
     assert delay_s == (2.0 if (kind, status) in retried else None)
     assert (
         delay_s is None or attempts.next_retry_delay_s(AttemptResult(503), 3.0) is None
-    )  # the budget had one
+    )  # the budget allowed one retry
 
 
 @test("Retry-After is followed up to a third of the remaining time, and no attempt without time is made")
--- a/tests/http/test_proxy.py
+++ b/tests/http/test_proxy.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("report_mode", ["inline", "off"])
 def test_load_report_of_a_response_reaches_the_balancer(report_mode: str) -> None:
-    """An earlier version dropped it, so that over sockets the balancer never learned that a zone was busy."""
+    """Without the load report, the balancer can't learn over sockets that a zone is busy."""
 
     async def test() -> None:
         async with proxy_with_one_server(report={"how": report_mode}) as (
@@ -309,7 +309,7 @@
 
 
 def test_busy_server_is_avoided_while_another_is_idle() -> None:
-    """With 20 requests on 12 servers of two cores, some servers once had five requests and others none."""
+    """Of 20 requests on 12 two-core servers, some servers must not get five while others get none."""
 
     async def test() -> None:
         backends = [await FakeServer().start() for _ in range(2)]
@@ -332,7 +332,7 @@
 
 
 def test_rejected_attempt_is_retried_on_the_next_server_each_time() -> None:
-    """With two of four servers rejecting half of their requests, the default retry budget was used up."""
+    """Two of four servers reject half of their requests, which must not use up the default retry budget."""
 
     async def test() -> None:
         backends = [await FakeServer().start() for _ in range(2)]
@@ -393,7 +393,7 @@
 
 
 def test_low_value_requests_may_use_the_whole_limit_while_responses_are_fast() -> None:
-    """On reload day, searches were rejected with 22 of 28 requests in flight, and were retried repeatedly."""
+    """On reload day, 22 of 28 requests in flight were enough for searches to be rejected, again and again."""
 
     async def test() -> None:
         backend = await FakeServer().start()
--- a/tests/planning/test_advice.py
+++ b/tests/planning/test_advice.py
@@ -168,7 +168,7 @@
 
 
 def test_a_dead_planner_does_not_count_beside_live_ones() -> None:
-    """Neither one that found the server healthy, nor one that advised half as strongly against it."""
+    """One dead planner found the server healthy; another one advised half as strongly against it."""
     combiner = AdviceCombiner()
     combiner.receive(0, advice_against(), 0.0, 0.0)
     combiner.receive(1, advice_against(3, weight_share=50), 0.0, 0.0)
--- a/tests/planning/test_forwarders_and_planners.py
+++ b/tests/planning/test_forwarders_and_planners.py
@@ -194,7 +194,7 @@
 
 
 def test_start_numbers_agree_among_forwarders_with_different_clocks() -> None:
-    """Each has the start on its own clock, converted from discovery's."""
+    """Each forwarder has the start on its own clock, converted from discovery's."""
     up_since = 1_764_583_000_123.0
     numbers = {
         start_number_of(Endpoint("s", started_at=up_since - ahead), ahead)
--- a/tests/planning/test_golden_notes.py
+++ b/tests/planning/test_golden_notes.py
@@ -59,7 +59,7 @@
 
 
 def test_an_exchange_is_sealed_to_the_same_bytes_and_opened_to_the_same_messages() -> None:
-    known_keys = {1: [1], 200: [1, 200]}  # by the key that seals: those that both sides know then
+    known_keys = {1: [1], 200: [1, 200]}  # by the key that seals: the keys that both sides accept then
     parties = {
         "forwarder": SecureChannel(keys([1], 1), 5, 7, 3, frozenset({ADVICE, LEASE})),
         "planner": SecureChannel(keys([1], 1), 2, 0xFEDCBA98, 10, frozenset({REPORT})),
--- a/tests/planning/test_planning_simulation.py
+++ b/tests/planning/test_planning_simulation.py
@@ -41,7 +41,7 @@
 def test_healthy_servers_keep_their_weight(case: str) -> None:
     with get_context("fork").Pool() as pool:
         outcomes = pool.map(partial(play, case=case), range(24), chunksize=2)
-    # With a limit on the age of calls alone, 118 and some 70 servers were named in 32 fleets each.
+    # With a limit on the age of calls alone, 118 and some 70 servers are found unhealthy in 32 fleets each.
     assert sum(result.false_alarms for result in outcomes) <= 1
 
 
--- a/tests/planning/test_transport.py
+++ b/tests/planning/test_transport.py
@@ -187,7 +187,7 @@
             KeyRing(NEW.known, 1),
             NEW,
             KeyRing({2: NEW.known[2]}, 2),
-        ):  # the new key is known, then used, then the only one
+        ):  # the new key is accepted, then used for seals, then the only one
             channel.keys = keys
             for harness in fleet.harnesses:
                 assert harness.services.planner_transports is not None
--- a/tests/services/test_changes.py
+++ b/tests/services/test_changes.py
@@ -282,7 +282,7 @@
 
 
 def test_a_server_in_slow_start_that_a_change_adds_is_not_overloaded() -> None:
-    """It serves 30 requests a second at first and 100 when warm; three times that load crashes it."""
+    """The server serves 30 requests a second at first and 100 when warm; three times that load crashes it."""
 
     async def test() -> None:
         slow_start = SlowStart(
--- a/tests/services/test_settings_file.py
+++ b/tests/services/test_settings_file.py
@@ -128,7 +128,8 @@
         "sockets",
     }
     assert reported["service.1.routes.0"] == (
-        "x.org / to a has the same right as service.0.routes.0, x.org / to a; one of the two must say more"
+        "x.org / to a matches the same requests as service.0.routes.0, x.org / to a; "
+        "one of the two must be more specific"
     )
     assert "500" in reported["sockets"] and reported["service.0.routes.2.class"].endswith(
         "it has look, charge"
