--- a/cometdoor/planning/sealed_messages.py
+++ b/cometdoor/planning/sealed_messages.py
@@ -114,7 +114,7 @@
         if not 1 <= len(self.known) <= 2:
             raise ValueError(f"one key or two are needed, not {len(self.known)}")
         if self.current not in self.known:
-            raise ValueError(f"key {self.current} is not among those known")
+            raise ValueError(f"key {self.current} is not among the known keys")
         for number, key in self.known.items():
             if not 0 <= number <= 255:
                 raise ValueError(f"key number {number} is not in 0 to 255")
--- a/cometdoor/planning/settings.py
+++ b/cometdoor/planning/settings.py
@@ -139,7 +139,9 @@
     try:
         key = bytes.fromhex(raw.decode("ascii"))
     except ValueError:  # includes UnicodeDecodeError
-        raise SettingsError([SettingsProblem(str(path), "", "not of hexadecimal digits alone")]) from None
+        raise SettingsError(
+            [SettingsProblem(str(path), "", "must contain only hexadecimal digits")]
+        ) from None
     if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
         raise SettingsError(
             [SettingsProblem(str(path), "", f"{len(key)} bytes, not {MIN_KEY_BYTES} to {MAX_KEY_BYTES}")]
@@ -158,7 +160,10 @@
         if number in numbers[:index]:
             yield f"keys.known.{index}.number", f"{number} is that of another key"
     if keys.seal_with not in numbers:
-        yield "keys.seal_with", f"{keys.seal_with} is not among the known, {', '.join(map(str, numbers))}"
+        yield (
+            "keys.seal_with",
+            f"{keys.seal_with} is not the number of a known key: {', '.join(map(str, numbers))}",
+        )
 
 
 def _check_unique(values: Sequence[str], path: str) -> Iterator[tuple[str, str]]:
