--- a/tests/golden.py
+++ b/tests/golden.py
@@ -98,14 +98,14 @@
 
 def reachable(kinds: Iterable[StructType]) -> set[StructType]:
     """Return these structs and all structs in their fields, at any depth."""
-    found: set[StructType] = set()
+    reached: set[StructType] = set()
     pending = list(kinds)
     while pending:
         kind = pending.pop()
-        if kind not in found:
-            found.add(kind)
+        if kind not in reached:
+            reached.add(kind)
             pending += [inner for field_type in field_types(kind) for inner in structs_in(field_type)]
-    return found
+    return reached
 
 
 def check_field_order(kind: StructType, recorded: list[str], renamed: dict[str, str]) -> None:
@@ -122,7 +122,7 @@
     )
     expected = [renamed.get(name, name) for name in recorded]
     declared = list(kind.__struct_fields__)
-    differ = {name: found for name, found in zip(recorded, declared, strict=False) if name != found}
+    differ = {name: actual for name, actual in zip(recorded, declared, strict=False) if name != actual}
     assert declared == expected, (
         f"{kind.__name__} has {declared}, the fixture {recorded}; if only names have changed, "
         f"its fields were renamed: {differ}"
--- a/tests/planning/test_golden_notes.py
+++ b/tests/planning/test_golden_notes.py
@@ -106,8 +106,8 @@
     assert encode_frame(datagram) == framed
     for size in (1, 2, 3, 50, len(framed)):
         decoder = FrameDecoder()
-        pieces = [framed[at : at + size] for at in range(0, len(framed), size)]
-        assert [message for piece in pieces for message in decoder.feed(piece)] == [datagram]
+        chunks = [framed[offset : offset + size] for offset in range(0, len(framed), size)]
+        assert [message for chunk in chunks for message in decoder.feed(chunk)] == [datagram]
 
 
 @pytest.mark.parametrize("name", FIXTURE["server_ids"])
--- a/tests/planning/test_settings.py
+++ b/tests/planning/test_settings.py
@@ -73,9 +73,9 @@
 forwarders = 5
 """,
     )
-    with pytest.raises(SettingsError) as found:
+    with pytest.raises(SettingsError) as caught:
         load_planners(path)
-    assert [problem.path for problem in found.value.problems] == [
+    assert [problem.path for problem in caught.value.problems] == [
         "keys.known.1.number",
         "keys.seal_with",
         "planner.number",
@@ -102,9 +102,9 @@
 transport = "smoke"
 """,
     )
-    with pytest.raises(SettingsError) as found:
+    with pytest.raises(SettingsError) as caught:
         load_forwarders(path)
-    assert {problem.path for problem in found.value.problems} == {
+    assert {problem.path for problem in caught.value.problems} == {
         "forwarder.number",
         "forwarder.colour",
         "keys.known.0.number",
@@ -122,16 +122,16 @@
         (["x"], "service.0.planners.0"),
     ):
         text = FORWARDERS.replace('["127.0.0.1:7946"]', repr(planners))
-        with pytest.raises(SettingsError) as found:
+        with pytest.raises(SettingsError) as caught:
             load_forwarders(write_settings(tmp_path, text))
-        assert [problem.path for problem in found.value.problems] == [path]
+        assert [problem.path for problem in caught.value.problems] == [path]
 
 
 @pytest.mark.parametrize("key", ["", "ab", "xyz" * 12, "ab" * 40])
 def test_an_invalid_key_is_named_and_not_shown(tmp_path: Path, key: str) -> None:
-    with pytest.raises(SettingsError) as found:
+    with pytest.raises(SettingsError) as caught:
         load_planners(write_settings(tmp_path, PLANNERS, key))
-    (problem,) = found.value.problems
+    (problem,) = caught.value.problems
     assert problem.path == "keys.known.0.file" and "notes.key" in problem.text
     assert not key or key not in str(problem)
 
@@ -170,12 +170,12 @@
     stream = b"".join(map(encode_frame, messages))
     for step in (1, 3, 100, len(stream)):
         decoder = FrameDecoder()
-        found = [
+        decoded = [
             message
-            for place in range(0, len(stream), step)
-            for message in decoder.feed(stream[place : place + step])
+            for offset in range(0, len(stream), step)
+            for message in decoder.feed(stream[offset : offset + step])
         ]
-        assert found == messages
+        assert decoded == messages
 
 
 @pytest.mark.parametrize("head", [b"\0\0", (MAX_MESSAGE_BYTES + 1).to_bytes(2), b"\xff\xff"])
