--- a/benchmarks/capacity_mesh.py
+++ b/benchmarks/capacity_mesh.py
@@ -82,9 +82,9 @@
         self._versions = {number: 1 for number in range(1, size)}
         self._digests_sent = 0
         self._timer: asyncio.TimerHandle | None = None
-        known = [_replica_record(number) for number in range(1, REPLICAS)]
-        known += [record_of(number) for number in self._versions]
-        self.directory.on_update(GossipUpdate("", known, 1), loop.time())
+        records = [_replica_record(number) for number in range(1, REPLICAS)]
+        records += [record_of(number) for number in self._versions]
+        self.directory.on_update(GossipUpdate("", records, 1), loop.time())
         self._clear_outbox()
 
     async def listen(self) -> None:
--- a/benchmarks/capacity_replica.py
+++ b/benchmarks/capacity_replica.py
@@ -84,7 +84,7 @@
 
     def _frames(self) -> list[tuple[str, bytes]]:
         outbox, self.replica.outbox = self.replica.outbox, []
-        frames = [(one.address, encode(Frame(0, False, one.message))) for one in outbox]  # type: ignore[arg-type]
+        frames = [(outgoing.address, encode(Frame(0, False, outgoing.message))) for outgoing in outbox]  # type: ignore[arg-type]
         self.sent += len(frames)
         self.sent_bytes += sum(len(frame) for _, frame in frames)
         return frames
@@ -170,7 +170,7 @@
 
 
 def claim_cost(voters: int, batch: int, claims: int, existing_entries: int = 0) -> ClaimCost:
-    """Measure claims. `already`: entries in the log before."""
+    """Measure claims. `existing_entries`: entries already in the log."""
     group = ReplicaGroup(voters)
     for _ in range(existing_entries // 400):
         group.replicate_claims(400)
@@ -180,10 +180,10 @@
     followers = group.followers()
     return ClaimCost(
         1e6 * group.leader.spent_s / claims,
-        1e6 * sum(one.spent_s for one in followers) / len(followers) / claims,
+        1e6 * sum(follower.spent_s for follower in followers) / len(followers) / claims,
         group.leader.disk_bytes / claims,
         group.leader.sent_bytes / claims,
-        sum(one.sent_bytes for one in followers) / len(followers) / claims,
+        sum(follower.sent_bytes for follower in followers) / len(followers) / claims,
     )
 
 
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -25,8 +25,8 @@
 def exchange_figures(examples: int) -> dict[str, int]:
     """Return the exchange's figures, with other names for its planted defects."""
     figures = asdict(exchange.measure(examples))
-    planted, found = figures.pop("planted"), figures.pop("planted_found")
-    return {**figures, "exchange_planted": planted, "exchange_planted_found": found}
+    planted, detected = figures.pop("planted"), figures.pop("planted_found")
+    return {**figures, "exchange_planted": planted, "exchange_planted_found": detected}
 
 
 def with_sums(figures: Mapping[str, float | int | str]) -> dict[str, float | int | str]:
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -80,8 +80,13 @@
             apply_times_s.append(min(later, default=at if node.address == "n0:1" else float("inf")) - at)
     mesh.isolated.add("n5:1")
     isolated_at = mesh.now
-    other_directories = [one for one in mesh.live_directories() if one.local_record.node != "n5"]
-    while not all(one.is_suspected("n5") for one in other_directories) and mesh.now < isolated_at + 20.0:
+    other_directories = [
+        directory for directory in mesh.live_directories() if directory.local_record.node != "n5"
+    ]
+    while (
+        not all(directory.is_suspected("n5") for directory in other_directories)
+        and mesh.now < isolated_at + 20.0
+    ):
         mesh.run(0.05)
     return Figures(
         size,
@@ -95,12 +100,12 @@
 
 def summarize(results: list[Figures]) -> dict[str, float]:
     summary: dict[str, float] = {}
-    for one in results:
-        summary[f"calm_bytes_s_{one.size}"] = one.calm_bytes_s
-        summary[f"apply_s_p99_{one.size}"] = one.apply_times_s[int(len(one.apply_times_s) * 0.99)]
-        summary[f"apply_bytes_per_proxy_{one.size}"] = one.apply_bytes
-        summary[f"first_bytes_per_proxy_{one.size}"] = one.first_bytes
-        summary[f"silent_s_{one.size}"] = one.detection_s
+    for result in results:
+        summary[f"calm_bytes_s_{result.size}"] = result.calm_bytes_s
+        summary[f"apply_s_p99_{result.size}"] = result.apply_times_s[int(len(result.apply_times_s) * 0.99)]
+        summary[f"apply_bytes_per_proxy_{result.size}"] = result.apply_bytes
+        summary[f"first_bytes_per_proxy_{result.size}"] = result.first_bytes
+        summary[f"silent_s_{result.size}"] = result.detection_s
     small, large = results[-2:]
     summary["flat_bytes_ratio"] = large.calm_bytes_s / small.calm_bytes_s
     summary["flat_apply_bytes_ratio"] = large.apply_bytes / small.apply_bytes
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -212,9 +212,9 @@
                 except (OSError, msgspec.DecodeError):
                     continue  # it is being killed or started
                 self.false_alarms |= {
-                    (number, ids[one.server])
-                    for one in status.fleets[0].unhealthy
-                    if ids.get(one.server) in self.never_disturbed
+                    (number, ids[unhealthy_server.server])
+                    for unhealthy_server in status.fleets[0].unhealthy
+                    if ids.get(unhealthy_server.server) in self.never_disturbed
                 }
 
     async def peak(self) -> float:
@@ -224,13 +224,19 @@
 
 def p99_ms(client_logs: Sequence[ClientLog]) -> float:
     return 1000.0 * percentile(
-        [one.seconds for client_log in client_logs for one in client_log.attempts if one.was_served], 0.99
+        [
+            attempt.seconds
+            for client_log in client_logs
+            for attempt in client_log.attempts
+            if attempt.was_served
+        ],
+        0.99,
     )
 
 
 def served(client_logs: Sequence[ClientLog]) -> float:
-    attempts = [one for client_log in client_logs for one in client_log.attempts]
-    return sum(one.was_served for one in attempts) / len(attempts)
+    attempts = [attempt for client_log in client_logs for attempt in client_log.attempts]
+    return sum(attempt.was_served for attempt in attempts) / len(attempts)
 
 
 async def measure_frozen_server(
@@ -248,7 +254,7 @@
     client_logs, frozen_at = await asyncio.gather(testbed.send_traffic(fleet, seconds + 1.0), freeze())
     request_log = await testbed.servers.request_log("s")
     await testbed.servers.command("thaw", "s", number=number)
-    sent_ids = {one.request for client_log in client_logs for one in client_log.attempts}
+    sent_ids = {attempt.request for client_log in client_logs for attempt in client_log.attempts}
     sends = [
         (entry.first_byte_at - frozen_at, entry.server)
         for entry in request_log.entries
@@ -320,7 +326,7 @@
 
 def violations(testbed: Testbed, request_log: RequestLog, drained: dict[str, float]) -> int:
     rule_violations = check_rules(
-        ClientLog([one for client_log in testbed.client_logs for one in client_log.attempts]),
+        ClientLog([attempt for client_log in testbed.client_logs for attempt in client_log.attempts]),
         request_log,
         drained,
     )
--- a/benchmarks/replicas.py
+++ b/benchmarks/replicas.py
@@ -143,15 +143,15 @@
             for cut in {offset, max(offset - 200, 0)} if offset % (3 * BLOCK_BYTES) == 0 else {offset}:
                 tried += 1
                 path.write_bytes(content[:cut])
-                found, _ = recover_log(folder)
+                recovered_log, _ = recover_log(folder)
                 # A value may be complete before its last block is: synced values are the minimum.
                 synced = sum(size <= cut for size in sizes)
                 recovered += (
-                    not found.is_corrupt
-                    and found.last_number >= synced
+                    not recovered_log.is_corrupt
+                    and recovered_log.last_number >= synced
                     and (
-                        [entry.index for entry in found.durable_state.entries]
-                        == list(range(1, max(found.last_number, 1)))
+                        [entry.index for entry in recovered_log.durable_state.entries]
+                        == list(range(1, max(recovered_log.last_number, 1)))
                     )
                 )
         return tried, recovered
@@ -184,9 +184,13 @@
                 data = bytearray(content)
                 data[offset + byte] ^= 1 << (byte % 8)
                 path.write_bytes(bytes(data))
-                found, _ = recover_log(folder)
+                recovered_log, _ = recover_log(folder)
                 # No later value shows that the last one was synced: it counts as torn.
-                detected += found.is_corrupt if number < len(offsets) else found.last_number == number - 1
+                detected += (
+                    recovered_log.is_corrupt
+                    if number < len(offsets)
+                    else recovered_log.last_number == number - 1
+                )
         return tried, detected
 
 
@@ -229,8 +233,8 @@
 
     def figures(self) -> dict[str, float | int | str]:
         extent = self._extent
-        found = self._planted.get()
-        for name, detection in zip(DEFECTS, found, strict=True):
+        detections = self._planted.get()
+        for name, detection in zip(DEFECTS, detections, strict=True):
             print_progress(f"{name}: {detection[:100] or 'NOT FOUND'}")
         explored, state_violations = print_violations(self._explored.get())
         of_five, violations_of_five = print_violations(self._of_five.get())
@@ -255,7 +259,7 @@
             "depth_of_five": extent.five_depth,
             "steps_walked": walked,
             "mutations_planted": len(DEFECTS),
-            "mutations_found": sum(map(bool, found)),
+            "mutations_found": sum(map(bool, detections)),
             "schedules": extent.schedules,
             "acknowledged": acknowledged_count,
             "histories": extent.histories,
