--- a/simulation/client_sessions.py
+++ b/simulation/client_sessions.py
@@ -138,7 +138,7 @@
         world = super().clone(set(range(len(self.nodes))))  # applied entries may end calls at any replica
         assert isinstance(world, SessionWorld)
         world.session_limits = replace(self.session_limits)
-        world.pending_requests = [one.copy() for one in self.pending_requests]
+        world.pending_requests = [requests.copy() for requests in self.pending_requests]
         world.states = list(self.states)  # shared: `_run_turn` copies a state machine before it changes
         world.observations = self.observations.copy()
         return world
@@ -270,7 +270,7 @@
             self.fail(f"acknowledged is accepted: order {order} is not accepted")
         for revision, body in self.observations.observed_reads:
             if revision and not any(
-                ORDERS[one].revision == revision and ORDERS[one].body == body for one in accepted
+                ORDERS[order].revision == revision and ORDERS[order].body == body for order in accepted
             ):
                 self.fail(f"reads are current: revision {revision} was read but is not accepted")
         bases = [ORDERS[order].base_revision for order in accepted]
@@ -311,7 +311,8 @@
                 for read in pending_requests._reads
             ]
             orders = [
-                (index, one.term, one.caller) for index, one in sorted(pending_requests._proposals.items())
+                (index, proposal.term, proposal.caller)
+                for index, proposal in sorted(pending_requests._proposals.items())
             ]
             sessions.append((node.replica.log.snapshot_index, orders, reads))
         limits = self.session_limits
--- a/simulation/event_loop.py
+++ b/simulation/event_loop.py
@@ -87,7 +87,7 @@
     ) -> asyncio.Task[Any]:
         task: asyncio.Task[Any] = asyncio.Task(function, loop=loop, **options)
         process = CURRENT_PROCESS.get()
-        process.tasks = [one for one in process.tasks if not one.done()]
+        process.tasks = [pending_task for pending_task in process.tasks if not pending_task.done()]
         process.tasks.append(task)
         return task
 
@@ -122,8 +122,8 @@
 
     # --- connections ---
 
-    def delay(self, one: Process, other: Process) -> float:
-        return ONE_WAY_DELAY_S if one.machine != other.machine else ONE_WAY_DELAY_S / 10
+    def delay(self, sender: Process, receiver: Process) -> float:
+        return ONE_WAY_DELAY_S if sender.machine != receiver.machine else ONE_WAY_DELAY_S / 10
 
     def arrival_time(self, sender: Process, receiver: Process, size: int) -> float:
         """Return when `size` bytes that are sent now arrive, after everything their machine sent before."""
--- a/simulation/keyed_operations.py
+++ b/simulation/keyed_operations.py
@@ -144,24 +144,26 @@
 
     def on_attempt(self, proxy: Proxy, key: str) -> None:
         if proxy.is_up:
-            one = ClientAttempt(key, self.now)
-            self.attempts.append(one)
-            proxy.carry_out(proxy.operations.on_attempt(key, one, self.now), proxy.incarnation)
+            attempt = ClientAttempt(key, self.now)
+            self.attempts.append(attempt)
+            proxy.carry_out(proxy.operations.on_attempt(key, attempt, self.now), proxy.incarnation)
             self._call_later(
                 1.8,
                 lambda: (
-                    proxy.carry_out(proxy.operations.abandon(key, one, is_timed_out=True), proxy.incarnation)
+                    proxy.carry_out(
+                        proxy.operations.abandon(key, attempt, is_timed_out=True), proxy.incarnation
+                    )
                     if proxy.is_up
                     else None
                 ),
             )
 
-    def on_attempt_ended(self, one: ClientAttempt, outcome: str, response: bytes = b"") -> None:
-        if one.outcome:
-            raise InvariantError(f"seed {self.seed}: an attempt of key {one.key} ended twice")
-        one.outcome, one.response = outcome, response
+    def on_attempt_ended(self, attempt: ClientAttempt, outcome: str, response: bytes = b"") -> None:
+        if attempt.outcome:
+            raise InvariantError(f"seed {self.seed}: an attempt of key {attempt.key} ended twice")
+        attempt.outcome, attempt.response = outcome, response
         if response:
-            self.responses.setdefault(one.key, set()).add(response)
+            self.responses.setdefault(attempt.key, set()).add(response)
 
     # --- control plane ---
 
@@ -211,7 +213,7 @@
                     proxy.operations.on_owner_reply(action.key, action.claim_id, reply), incarnation
                 )
 
-        owner = next(one for one in self.proxies if one.address == action.owner)
+        owner = next(candidate for candidate in self.proxies if candidate.address == action.owner)
         if owner is proxy:
             self._call_later(0.0, lambda: on_reply(OperationReply("unknown")))
             return
@@ -278,14 +280,16 @@
 
         Raises InvariantError if responses to a key differ or a key got one without execution.
         """
-        counts = KeyedCounts(len({one.key for one in self.attempts}), sum(map(len, self.executions.values())))
+        counts = KeyedCounts(
+            len({attempt.key for attempt in self.attempts}), sum(map(len, self.executions.values()))
+        )
         for key, responses in self.responses.items():
             if len(responses) > 1:
                 raise InvariantError(f"seed {self.seed}: key {key} got different responses: {responses}")
             if key not in self.executions:
                 raise InvariantError(f"seed {self.seed}: key {key} got a response without any execution")
-        for one in self.attempts:
-            counts.outcomes[one.outcome] = counts.outcomes.get(one.outcome, 0) + 1
+        for attempt in self.attempts:
+            counts.outcomes[attempt.outcome] = counts.outcomes.get(attempt.outcome, 0) + 1
         counts.answered_attempts = counts.outcomes.get("response", 0)
         return counts
 
@@ -299,7 +303,7 @@
     mesh.run_until_leader()
     rng = mesh.rng
     keys = 0
-    lost: int | None = None
+    victim: int | None = None
     restore_at = 0.0
     while mesh.now < seconds:
         for _ in range(rng.randrange(4)):
@@ -310,10 +314,10 @@
                     rng.choice([0.0, 0.0, 0.3, 3.0]) * rng.random(),
                     lambda key=key: mesh.on_attempt(rng.choice(mesh.proxies), key),  # type: ignore[misc]
                 )
-        if lost is None and rng.random() < 0.15:
-            lost = mesh.pick_victim()
+        if victim is None and rng.random() < 0.15:
+            victim = mesh.pick_victim()
             restore_at = mesh.now + rng.uniform(0.2, 2.0)
-            mesh.inject_fault(fault := rng.choice(FAULTS), lost)
+            mesh.inject_fault(fault := rng.choice(FAULTS), victim)
             if fault == "all":
                 for proxy in mesh.proxies:
                     proxy.is_up = False
@@ -323,15 +327,15 @@
             if not proxy.is_up and rng.random() < 0.3:
                 proxy.start()
         mesh.run(rng.uniform(0.05, 0.3))
-        if lost is not None and mesh.now >= restore_at:
+        if victim is not None and mesh.now >= restore_at:
             mesh.restore()
             mesh.run(2.5)  # until a returned machine has caught up, it still counts as lost
-            lost = None
+            victim = None
     mesh.restore()
     for proxy in mesh.proxies:
         if not proxy.is_up:
             proxy.start()
-    for key in sorted({one.key for one in mesh.attempts})[::3]:
+    for key in sorted({attempt.key for attempt in mesh.attempts})[::3]:
         mesh.on_attempt(rng.choice(mesh.proxies), key)
     mesh.run(settle_s)
     mesh.run_until_leader()
