--- a/simulation/catch_up.py
+++ b/simulation/catch_up.py
@@ -151,7 +151,7 @@
 
 
 def _is_caught_up(group: ReplicaGroup, leader: int, returning: int) -> bool:
-    """Tell whether the replica has applied what the leader had committed one heartbeat ago."""
+    """Return whether the replica has applied what the leader had committed one heartbeat ago."""
     leader_replica, returned_replica = group.machines[leader].replica, group.machines[returning].replica
     assert leader_replica is not None and returned_replica is not None
     progress = leader_replica.followers.get(returned_replica.me.id)
--- a/simulation/linearizability.py
+++ b/simulation/linearizability.py
@@ -80,7 +80,7 @@
 
 
 def is_linearizable(history: Sequence[Operation], first: int = 0) -> bool:
-    """Tell whether a register that begins with revision `first` may have produced the history."""
+    """Return whether a register that begins with revision `first` may have produced the history."""
     # A read without a response restricts nothing.
     calls = sorted(
         (call for call in history if not call.is_read or call.response is not None),
--- a/simulation/model_invariants.py
+++ b/simulation/model_invariants.py
@@ -152,7 +152,7 @@
 
 
 def has_entry(log: Log, index: int, term: int | None) -> bool:
-    """Tell whether a log has the entry. What its snapshot covers was committed and counts as present."""
+    """Return whether a log has the entry. What its snapshot covers was committed and counts as present."""
     return index <= log.base_index or log.term_at(index) == term
 
 
--- a/simulation/replica_group.py
+++ b/simulation/replica_group.py
@@ -352,7 +352,7 @@
                     pass
 
     def _was_accepted(self, index: int) -> bool:
-        """Tell whether the configuration at an index was accepted: its base was the newest revision."""
+        """Return whether the configuration at an index was accepted: its base was the newest revision."""
         newest = 0
         for committed_index in sorted(self._committed):
             change = self._committed[committed_index][1]
--- a/simulation/second_losses.py
+++ b/simulation/second_losses.py
@@ -113,7 +113,7 @@
                 self.reduced_tolerance_until = self.now
 
     def tolerates_losses(self, count: int) -> bool:
-        """Tell whether the group tolerates the loss of any `count` of the available machines.
+        """Return whether the group tolerates the loss of any `count` of the available machines.
 
         It does if the remaining machines can elect a leader, and only one that has all that is committed.
         """
--- a/standins/soak.py
+++ b/standins/soak.py
@@ -45,7 +45,7 @@
 
 
 class Soak:
-    """One mesh and the faults of one seed; sends the traffic and holds what was observed."""
+    """One mesh and the faults of one seed; sends the traffic and records what was observed."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.rng = random.Random(seed)
--- a/tests/control/test_golden_data_directory.py
+++ b/tests/control/test_golden_data_directory.py
@@ -261,7 +261,7 @@
         check_nothing_is_lost(mesh)
         check_accepts_changes(mesh)
         check_all_replicas_agree(mesh)
-        # The group also continues after each has restarted on what the present code wrote.
+        # The group also continues after each member has restarted on what the present code wrote.
         for address in mesh.core:
             mesh.kill(address, silent=True)
         launch(mesh, [1, 2, 3])
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -88,11 +88,13 @@
                     ).kind is EndpointListKind.DELTA
                     call.writer.close()
             assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.FAILED
-            again = await discovery.next()
+            renewed_watch = await discovery.next()
             index = b"47" if ending == "broken later" else b"41"
-            assert again.message.start_line == b"GET /discovery/hosts?stream=1&index=%s HTTP/1.1" % index
-            again.open_stream()
-            again.send_endpoints(48, False)
+            assert (
+                renewed_watch.message.start_line == b"GET /discovery/hosts?stream=1&index=%s HTTP/1.1" % index
+            )
+            renewed_watch.open_stream()
+            renewed_watch.send_endpoints(48, False)
             assert (await scripted_balancer.wait_for(api.EndpointsChanged)).kind is EndpointListKind.DELTA
 
     run(test)
@@ -230,5 +232,5 @@
     assert (s2.zone, s2.kind, s2.started_at) == (2, 1, 0.0)
     assert abs(time.monotonic() * 1000.0 - s1.started_at - 7000.0) < 1000.0
     assert addresses["s2"] == ("127.0.0.1", 2)
-    again = reader.read(message)[0]
-    assert [s1, s2] == again  # a changed start time would look like a restart
+    endpoints_read_again = reader.read(message)[0]
+    assert [s1, s2] == endpoints_read_again  # a changed start time would look like a restart
--- a/tests/http/test_proxy.py
+++ b/tests/http/test_proxy.py
@@ -393,7 +393,7 @@
 
 
 def test_low_value_requests_may_use_the_whole_limit_while_responses_are_fast() -> None:
-    """On reload day, 22 of 28 requests in flight were enough for searches to be rejected, again and again."""
+    """Reload day: searches were rejected repeatedly as soon as 22 of 28 requests were in flight."""
 
     async def test() -> None:
         backend = await FakeServer().start()
--- a/tests/services/test_changes.py
+++ b/tests/services/test_changes.py
@@ -295,8 +295,8 @@
         await wait_until(lambda: len(a.request_log.entries) > 150)
         await a.add(1, slow_start=slow_start, started_at=time.monotonic())
         assert harness.services.apply(make_settings(a.entry(cold=settings))).to_keep == ("a",)
-        for old in a.servers[:2]:  # so that nearly all traffic would go to the new server
-            old.model.behaviour.slowdown_factor = 5.0
+        for old_server in a.servers[:2]:  # so that nearly all traffic would go to the new server
+            old_server.model.behaviour.slowdown_factor = 5.0
         client_log = await running
         assert a.request_log.entries_of("a-2") and not a.request_log.overload_crashes
         assert not check_rules(client_log, a.request_log)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -88,10 +88,10 @@
         call = await backend.next()
         process.send_signal(signal.SIGTERM)
         signalled_at = asyncio.get_running_loop().time()
-        late = await connect()  # the platform still routes to this proxy
-        late.send_request()
+        late_client = await connect()  # the platform still routes to this proxy
+        late_client.send_request()
         (await backend.next()).reply(200, b"late")
-        assert (await late.read_response()).body == b"late"
+        assert (await late_client.read_response()).body == b"late"
         assert await idle.is_closed_by_proxy()
         assert asyncio.get_running_loop().time() - signalled_at > 1.5  # the next proxy may not be ready yet
         assert process.returncode is None
