--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -25,9 +25,9 @@
 class Figures:
     """Counts of checks and violations."""
 
-    exchange_table_cells: int  # possible ones
+    exchange_table_cells: int  # possible cells
     exchange_table_impossible: int  # marked as impossible in the table
-    exchange_table_cells_played: int  # that behaved as the table says
+    exchange_table_cells_played: int  # cells in which the code behaved as the table says
     fuzz_examples: int
     fuzz_broken: int  # hops in which a plan broke an invariant
     planted: int
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -31,7 +31,7 @@
     calm_bytes_s: float  # sent by one process per second
     apply_times_s: list[float]  # until a change is applied, for each change and process
     first_bytes: float  # of one process, for a configuration without a known base
-    apply_bytes: float  # for each later one
+    apply_bytes: float  # of one process, for each later configuration
     detection_s: float
 
 
--- a/benchmarks/planning.py
+++ b/benchmarks/planning.py
@@ -50,7 +50,7 @@
     "window_s": 1.0,
 }
 EFFECT_SHARES = {"safe": 0.4, "keyed": 0.3, "unsafe": 0.3}
-AVOIDED_SHARE = 0.05  # of its former requests
+AVOIDED_SHARE = 0.05  # of the mean attempts per server before the freeze; up to this it counts as avoided
 WINDOW_S = 1.0  # shortest end of the phase over which a server must have been avoided
 
 
--- a/simulation/catch_up.py
+++ b/simulation/catch_up.py
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpResult:
-    """How long a replica took to catch up, and what was sent meanwhile."""
+    """How long a replica took to catch up, and what was sent to it until then."""
 
     seconds: float
-    bytes: int  # received by the replica meanwhile
-    snapshots: int  # sent to it meanwhile
-    terms: int  # new terms meanwhile
+    bytes: int  # received by the replica until it had caught up
+    snapshots: int  # sent to it until then
+    terms: int  # new terms until then
     max_queueing_s: float  # longest time that a message waited for earlier ones on a link
 
 
