--- a/standins/demo.py
+++ b/standins/demo.py
@@ -57,7 +57,7 @@
 def table(title: str, rows: Sequence[list[str]], rules: bool) -> Table:
     summary = Table(title=title, title_justify="left", box=box.SIMPLE)
     for index, column in enumerate(
-        ("service", "requests", "served", "rejected", "failed", "p50 ms", "p99 ms", "rules")
+        ("service", "sent", "served", "refused", "failed", "p50 ms", "p99 ms", "rules")
     ):
         if rules or column != "rules":
             summary.add_column(column, justify="left" if index == 0 else "right", no_wrap=True)
